--- a/crates/core/src/gather.rs
+++ b/crates/core/src/gather.rs
@@ -1,13 +1,16 @@
-//! Takes callers' requests, plans them over shards, gathers the answers.
+//! Accepts callers' requests, plans them over shards, sends the portions to their owners and
+//! gathers the replies into answers.
 //!
-//! One query goes through these steps: [`check`] refuses what breaks a bound, [`snapshot`] pins one
-//! index version, [`plan`] groups its shards by service, [`machine`] sends each service's portion
-//! to the service's owner and takes the replies that [`reply`] finds valid, [`answer`] builds the
-//! answer. [`peers`] learns how fast each peer replies and notices one that fell silent, [`keys`]
-//! remembers the keys of unrepeatable requests, [`history`] keeps what operators ask about.
+//! A query passes through these modules: [`check`] refuses requests that exceed a bound,
+//! [`snapshot`] pins one index version, [`plan`] groups the version's shards by service,
+//! [`machine`] sends each service's portion to the owner of the service and takes the replies that
+//! [`reply`] finds valid, [`answer`] builds the answer. [`peers`] tracks the reply times of each
+//! peer and detects silent peers, [`keys`] remembers the request keys of non-idempotent requests,
+//! [`history`] keeps the steps of recent queries for operators.
 //!
-//! Parts of a forwarded sweep may go to peers that stand nearer their servers: [`near`] divides
-//! them, [`collect`] takes the merged replies and notices a peer that does not speak.
+//! Portions of a forwarded sweep may be aggregated by peers that are closer to the servers:
+//! [`near`] assigns portions to such peers, [`collect`] takes the merged replies and detects a
+//! peer that sends none in time.
 
 mod answer;
 mod avoid;
--- a/crates/core/src/gather/answer.rs
+++ b/crates/core/src/gather/answer.rs
@@ -1,29 +1,32 @@
-//! Builds answers.
+//! Builds the answers to callers.
 
 use ladder_schema::call::{Answer, Missing, Part};
 use ladder_schema::outcome::{Reason, Verdict};
 
 use super::check::Refusal;
-use super::query::{Portion, Progress, Query, State};
+use super::query::{Portion, PortionState, Progress, Query};
 
-/// Advice of an instance that stops.
-const ELSEWHERE_MS: u32 = 10;
-/// Advice of an instance that knows too little: it learns what it needs within moments, and the
-/// next attempt most likely reaches one that knows.
-const SOON_MS: u32 = 50;
-/// Advice of an instance that holds too much.
-const LATER_MS: u32 = 500;
+/// Retry delay advised by an instance that is draining: the load balancer sends the next attempt
+/// to another instance.
+const RETRY_DRAINING_MS: u32 = 10;
+/// Retry delay advised by an instance that lacks data to serve the request: it receives the data
+/// shortly, and the next attempt most likely reaches an instance that has it.
+const RETRY_NOT_READY_MS: u32 = 50;
+/// Retry delay advised if the instance has too many open requests or a service has no usable
+/// server.
+const RETRY_LATER_MS: u32 = 500;
 
-/// The HTTP status of an answer.
+/// Returns the HTTP status of an answer.
 ///
-/// - 200 it covers all asked shards, 206 some of them; else, by reason:
-/// - 400 the request breaks a rule, 413 a bound on sizes;
-/// - 404 the index, operation or shard is unknown;
-/// - 409 an earlier attempt at an unrepeatable request may have run;
-/// - 429 a limit of the fleet is reached: come back after `retry_after_ms`;
-/// - 502 owners or servers failed;
-/// - 503 the instance or the fleet cannot serve it now;
-/// - 504 the deadline passed.
+/// - 200: the answer covers all requested shards; 206: it covers some of them; otherwise, by
+///   reason:
+/// - 400: the request is malformed; 413: the request exceeds a size limit;
+/// - 404: the index, operation, shard or route is unknown;
+/// - 409: an earlier attempt at a non-idempotent request may have run;
+/// - 429: a limit of the fleet is reached: retry after `retry_after_ms`;
+/// - 502: owners or servers failed;
+/// - 503: the instance or the fleet cannot serve the request at present;
+/// - 504: the deadline passed.
 pub fn status(answer: &Answer) -> u16 {
     if !answer.covered.is_empty() || answer.reason() == Reason::Unspecified {
         return if answer.missing.is_empty() { 200 } else { 206 };
@@ -47,8 +50,8 @@
     }
 }
 
-/// Answers a request that was refused whole.
-pub(crate) fn refusal(key: &str, index: &str, refusal: Refusal, verdict: Verdict) -> Answer {
+/// Builds the answer to a request that was refused before any of it was sent.
+pub(crate) fn refusal_answer(key: &str, index: &str, refusal: Refusal, verdict: Verdict) -> Answer {
     Answer {
         key: key.to_owned(),
         verdict: verdict.into(),
@@ -60,36 +63,38 @@
     }
 }
 
-/// When to come back after the instance itself refused; 0 where asking again cannot help.
+/// Advises when to retry, in milliseconds, after the instance itself refused a request; 0 if a
+/// retry cannot help.
 const fn retry_after_ms(reason: Reason) -> u32 {
     match reason {
-        // The balancer sends the next attempt to another instance.
-        Reason::Draining => ELSEWHERE_MS,
-        Reason::NotReady => SOON_MS,
-        Reason::QueueFull | Reason::NoServer | Reason::Evacuated | Reason::NoHome => LATER_MS,
+        // The load balancer sends the next attempt to another instance.
+        Reason::Draining => RETRY_DRAINING_MS,
+        Reason::NotReady => RETRY_NOT_READY_MS,
+        Reason::QueueFull | Reason::NoServer | Reason::Evacuated | Reason::NoHome => RETRY_LATER_MS,
         _ => 0,
     }
 }
 
-/// Answers a query with what it has; portions without a reply are missing for `reason`.
-pub(crate) fn answer(query: &mut Query, reason: Reason) -> Answer {
+/// Builds the answer to a query from the replies received so far; the shards of portions without a
+/// reply are listed as missing for `reason`.
+pub(crate) fn build_answer(query: &mut Query, reason: Reason) -> Answer {
     let mut answer = Answer {
         key: query.request.key.clone(),
-        verdict: verdict(query).into(),
+        verdict: query_verdict(query).into(),
         index: query.index.name.clone(),
         version: query.index.version,
         retry_after_ms: query.retry_after_ms,
         ..Answer::default()
     };
-    let mut parts: Vec<(u32, Part)> = Vec::with_capacity(query.covered);
+    let mut parts: Vec<(u32, Part)> = Vec::with_capacity(query.covered_shards);
     let mut missing: Vec<(u32, Missing)> = Vec::new();
     for position in 0..query.portions.len() {
-        match std::mem::replace(&mut query.portions[position].state, State::Open) {
-            State::Covered(covered) => {
-                let shards = query.portions[position].share.shards.iter();
+        match std::mem::replace(&mut query.portions[position].state, PortionState::Open) {
+            PortionState::Covered(covered) => {
+                let shards = query.portions[position].requested.shards.iter();
                 parts.extend(shards.copied().zip(covered));
             }
-            state => lack(query, position, &state, reason, &mut missing),
+            state => add_missing(query, position, &state, reason, &mut missing),
         }
     }
     parts.sort_unstable_by_key(|&(position, _)| position);
@@ -99,30 +104,31 @@
     answer.missing = missing.into_iter().map(|(_, missing)| missing).collect();
     let unplanned = query.missing.drain(..);
     answer.missing.extend(unplanned.map(|mut missing| {
-        missing.verdict = former(query.exposed, Verdict::NotRun).into();
+        missing.verdict =
+            including_earlier_versions(query.earlier_version_may_have_run, Verdict::NotRun).into();
         missing
     }));
     if answer.covered.is_empty() {
-        answer.reason = commonest(&answer.missing).into();
+        answer.reason = most_common_reason(&answer.missing).into();
     }
     answer
 }
 
-/// Lists the shards of a portion that is not covered.
-fn lack(
+/// Adds the shards of a portion that is not covered to the missing shards.
+fn add_missing(
     query: &Query,
     position: usize,
-    state: &State,
+    state: &PortionState,
     reason: Reason,
     missing: &mut Vec<(u32, Missing)>,
 ) {
     let portion = &query.portions[position];
     let reason = match state {
-        State::Refused(reason) => *reason,
-        _ => open_reason(portion, reason),
+        PortionState::Refused(reason) => *reason,
+        _ => open_portion_reason(portion, reason),
     };
-    let verdict = former(query.exposed, portion.verdict());
-    for &shard in &portion.share.shards {
+    let verdict = including_earlier_versions(query.earlier_version_may_have_run, portion.verdict());
+    for &shard in &portion.requested.shards {
         let entry = Missing {
             shard: query.index.shards[shard as usize].name.clone(),
             reason: reason.into(),
@@ -132,31 +138,34 @@
     }
 }
 
-/// Why a portion that is still open is not covered when its query ends for `reason`: its owner is
-/// lost if every sending that was not answered went to one that fell silent or lost its link.
-pub(crate) fn open_reason(portion: &Portion, reason: Reason) -> Reason {
+/// Returns why a portion that is still open is not covered when its query ends for `reason`: the
+/// reason is a lost owner if every unanswered sending went to a peer that fell silent or whose
+/// link broke.
+pub(crate) fn open_portion_reason(portion: &Portion, reason: Reason) -> Reason {
     let mut progress = portion.sendings.iter().map(|sending| sending.progress);
-    let lost = progress.clone().any(|progress| progress != Progress::Ended)
+    let lost = progress.clone().any(|progress| progress != Progress::Answered)
         && progress.all(|progress| progress != Progress::Open);
     if lost { Reason::OwnerLost } else { reason }
 }
 
-/// The verdict of something that may also have run under an earlier version.
-fn former(exposed: bool, verdict: Verdict) -> Verdict {
+/// Weakens `NotRun` to `MayHaveRun` if the same work may have run under an index version that the
+/// query abandoned.
+fn including_earlier_versions(earlier_may_have_run: bool, verdict: Verdict) -> Verdict {
     match verdict {
-        Verdict::NotRun if exposed => Verdict::MayHaveRun,
+        Verdict::NotRun if earlier_may_have_run => Verdict::MayHaveRun,
         verdict => verdict,
     }
 }
 
-/// The verdict of the whole.
+/// Returns the verdict of a whole query.
 ///
-/// An unrepeatable request ran only if all of it ran. A repeatable one ran if any of it did: what
-/// is missing can be asked for again. `NotRun` always means all of it.
-pub(crate) fn verdict(query: &Query) -> Verdict {
+/// A non-idempotent request ran only if all of its portions ran. An idempotent request ran if any
+/// portion ran, since the caller can request the missing shards again. `NotRun` always means that
+/// no portion ran.
+pub(crate) fn query_verdict(query: &Query) -> Verdict {
     let mut verdicts = query.portions.iter().map(Portion::verdict);
     if query.portions.iter().all(|p| p.verdict() == Verdict::NotRun) {
-        return former(query.exposed, Verdict::NotRun);
+        return including_earlier_versions(query.earlier_version_may_have_run, Verdict::NotRun);
     }
     let ran = if query.terms.unrepeatable {
         query.missing.is_empty() && verdicts.all(|verdict| verdict == Verdict::Ran)
@@ -166,15 +175,16 @@
     if ran { Verdict::Ran } else { Verdict::MayHaveRun }
 }
 
-/// The reason that most missing shards have, the first of equals. What was given up for the sake of
-/// others explains nothing beside them.
-fn commonest(missing: &[Missing]) -> Reason {
+/// Returns the most frequent reason among the missing shards, the first one in a tie. Cancelled
+/// shards are ignored if there are others: they were cancelled because of the others and do not
+/// explain the failure.
+fn most_common_reason(missing: &[Missing]) -> Reason {
     let mut counts: Vec<(Reason, usize)> = Vec::new();
-    let given_up = |reason: &Reason| *reason == Reason::Cancelled;
-    if missing.iter().map(Missing::reason).all(|reason| given_up(&reason)) {
+    let is_cancelled = |reason: &Reason| *reason == Reason::Cancelled;
+    if missing.iter().map(Missing::reason).all(|reason| is_cancelled(&reason)) {
         return missing.first().map_or(Reason::Unspecified, Missing::reason);
     }
-    for reason in missing.iter().map(Missing::reason).filter(|reason| !given_up(reason)) {
+    for reason in missing.iter().map(Missing::reason).filter(|reason| !is_cancelled(reason)) {
         match counts.iter_mut().find(|(known, _)| *known == reason) {
             Some((_, count)) => *count += 1,
             None => counts.push((reason, 1)),
--- a/crates/core/src/gather/avoid.rs
+++ b/crates/core/src/gather/avoid.rs
@@ -1,7 +1,8 @@
-//! Servers that peers report as failing or slow.
+//! Servers that peers report as failing, overloaded or slow.
 //!
-//! The instance that a sweep came to names the servers that each part may run on, but makes few of the calls
-//! itself. Replies report which servers fail, shed or are slow, and others are named where there are some.
+//! The entry instance of a sweep names the servers on which each part may run, but makes few of
+//! the calls to servers itself. Replies report the servers that fail, shed load or are slow, and
+//! the entry instance names other servers if there are any.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,19 +11,22 @@
 use crate::eligible::Mark;
 use crate::time::Instant;
 
-/// How long a report counts: a server that is avoided shows nothing new.
-const FRESH: Duration = Duration::from_secs(2);
+/// Lifetime of a peer's report. An avoided server receives no calls that could show its recovery,
+/// so the report has to expire.
+const REPORT_LIFETIME: Duration = Duration::from_secs(2);
 
-/// The last report on each service.
+/// The latest report of servers to avoid, for each service.
 #[derive(Debug, Default)]
-pub(crate) struct Avoid {
-    /// Invariant: no list is empty.
+pub(crate) struct AvoidedServers {
+    /// Reports by service, with their time of arrival.
+    ///
+    /// Invariant: no list of servers is empty.
     reports: Map<Arc<str>, (Instant, Vec<Mark>)>,
 }
 
-impl Avoid {
-    /// Records the report of an instance that called the service's servers.
-    pub(crate) fn report(&mut self, now: Instant, service: &Arc<str>, marks: &[u32]) {
+impl AvoidedServers {
+    /// Records the report of an instance that called the servers of `service`.
+    pub(crate) fn record_report(&mut self, now: Instant, service: &Arc<str>, marks: &[u32]) {
         if marks.is_empty() {
             self.reports.remove(service);
             return;
@@ -31,15 +35,15 @@
         self.reports.insert(Arc::clone(service), (now, marks));
     }
 
-    /// The servers of a service to avoid.
-    pub(crate) fn of(&self, now: Instant, service: &str) -> &[Mark] {
+    /// Returns the servers of a service to avoid according to a report that has not expired.
+    pub(crate) fn servers(&self, now: Instant, service: &str) -> &[Mark] {
         match self.reports.get(service) {
-            Some((at, marks)) if now.since(*at) < FRESH => marks,
+            Some((reported_at, marks)) if now.since(*reported_at) < REPORT_LIFETIME => marks,
             _ => &[],
         }
     }
 
-    /// Forgets services that are gone.
+    /// Removes the reports on services for which `is_known` is false.
     pub(crate) fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.reports.retain(|service, _| is_known(service));
     }
--- a/crates/core/src/gather/check.rs
+++ b/crates/core/src/gather/check.rs
@@ -1,4 +1,4 @@
-//! Checks a caller's request against the bounds of the interface.
+//! Checks a caller's request against the limits of the interface.
 
 use ladder_schema::bounds::{DEADLINE_MS, KEY_BYTES, NAME_BYTES, PAYLOAD_BYTES, SHARDS};
 use ladder_schema::call;
@@ -6,12 +6,13 @@
 
 use crate::collections::Set;
 
-/// Why a request is refused before any of it is sent: it has not run.
+/// Reason and message of a request that is refused before any of it is sent, so that none of it
+/// has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
-    /// The reason that is counted.
+    /// Reason by which the refusal is counted.
     pub(crate) reason: Reason,
-    /// Names the field, its value and what is allowed.
+    /// Message that names the field, its value and the allowed range.
     pub(crate) detail: String,
 }
 
@@ -21,20 +22,20 @@
     }
 }
 
-/// Checks every field that can be checked without a view.
-pub(crate) fn check(request: &call::Request) -> Result<(), Refusal> {
-    length("key", request.key.len(), KEY_BYTES)?;
+/// Checks every field of a request that can be checked without a view.
+pub(crate) fn check_request(request: &call::Request) -> Result<(), Refusal> {
+    check_length("key", request.key.len(), KEY_BYTES)?;
     if request.message.is_none() {
-        length("index", request.index.len(), NAME_BYTES)?;
-        length("operation", request.operation.len(), NAME_BYTES)?;
+        check_length("index", request.index.len(), NAME_BYTES)?;
+        check_length("operation", request.operation.len(), NAME_BYTES)?;
     }
-    at_most("payload", request.payload.len(), PAYLOAD_BYTES, "bytes")?;
-    at_most("shards", request.shards.len(), SHARDS, "names")?;
-    deadline(request.deadline_ms)?;
-    shards(&request.shards)
+    check_upper_bound("payload", request.payload.len(), PAYLOAD_BYTES, "bytes")?;
+    check_upper_bound("shards", request.shards.len(), SHARDS, "names")?;
+    check_deadline(request.deadline_ms)?;
+    check_shards(&request.shards)
 }
 
-fn length(field: &str, bytes: usize, most: usize) -> Result<(), Refusal> {
+fn check_length(field: &str, bytes: usize, most: usize) -> Result<(), Refusal> {
     if bytes == 0 {
         let detail = format!("{field}: 0 bytes; allowed: 1 to {most}");
         return Err(Refusal::new(Reason::Malformed, detail));
@@ -46,7 +47,7 @@
     Ok(())
 }
 
-fn at_most(field: &str, size: usize, most: usize, unit: &str) -> Result<(), Refusal> {
+fn check_upper_bound(field: &str, size: usize, most: usize, unit: &str) -> Result<(), Refusal> {
     if size <= most {
         return Ok(());
     }
@@ -54,7 +55,7 @@
     Err(Refusal::new(Reason::TooLarge, detail))
 }
 
-fn deadline(deadline_ms: u32) -> Result<(), Refusal> {
+fn check_deadline(deadline_ms: u32) -> Result<(), Refusal> {
     if deadline_ms <= DEADLINE_MS {
         return Ok(());
     }
@@ -62,10 +63,10 @@
     Err(Refusal::new(Reason::Malformed, detail))
 }
 
-fn shards(names: &[String]) -> Result<(), Refusal> {
+fn check_shards(names: &[String]) -> Result<(), Refusal> {
     let mut seen = Set::default();
     for name in names {
-        length("shards", name.len(), NAME_BYTES)?;
+        check_length("shards", name.len(), NAME_BYTES)?;
         if !seen.insert(name.as_str()) {
             let detail = format!("shards: {name} twice; allowed: each name once");
             return Err(Refusal::new(Reason::Malformed, detail));
--- a/crates/core/src/gather/event.rs
+++ b/crates/core/src/gather/event.rs
@@ -1,4 +1,4 @@
-//! What the gathering machine is told and what it asks for.
+//! Events that the gathering machine handles and actions that it requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,56 +10,58 @@
 use crate::fingerprint::Fingerprint;
 use crate::view::{Peer, View};
 
-/// A caller's open HTTP request; the shell numbers them.
+/// Number of a caller's open HTTP request, assigned by the code that runs the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Caller(pub u64);
 
-/// What the machine is told.
+/// Input of the gathering machine.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller's request arrived and was decoded.
     Call {
-        /// Whom to answer.
+        /// The caller to answer.
         caller: Caller,
-        /// What it asks.
+        /// The decoded request.
         request: call::Request,
     },
     /// The caller closed its connection.
     Gone(Caller),
-    /// Replies of one leaf.
+    /// Replies to portions arrived from one instance.
     Replies {
-        /// Name of the instance that sent them.
+        /// Name of the instance that sent the replies.
         from: Arc<str>,
         /// The replies.
         replies: Vec<wire::Reply>,
     },
-    /// A peer still collects parts whose time has come.
+    /// A peer reports that it is still aggregating parts whose target time has come.
     Pending {
-        /// Name of the instance that sent it.
+        /// Name of the instance that sent the report.
         from: Arc<str>,
-        /// Which parts.
+        /// The query and round that the report concerns.
         pending: wire::Pending,
     },
-    /// The link to a peer broke: what was sent to it may or may not have arrived.
+    /// The link to a peer broke: work sent to the peer may or may not have arrived.
     LinkDown(Arc<str>),
-    /// A new view is in force.
+    /// A new view takes effect.
     View(Arc<View>),
-    /// The process was suspended for about this long.
+    /// The process was paused for about this long.
     Paused(Duration),
-    /// Stop taking new requests; finish the open ones.
+    /// Refuse new requests and finish the open ones.
     Drain,
-    /// The bound of the graceful stop has come: answer the open requests with what is there.
+    /// The time limit of the graceful shutdown has passed: answer the open requests with the
+    /// replies received so far.
     Cut,
-    /// The time asked for by `Machine::next_wake` has come.
+    /// The time returned by `Machine::next_wake` has come.
     Tick,
 }
 
-/// What the machine asks for.
+/// Output of the gathering machine, for the caller of `Machine::handle` to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer a caller; exactly one per [`Event::Call`] unless the caller is gone.
+    /// Answer a caller; there is exactly one for each [`Event::Call`] unless the caller
+    /// disconnects.
     Answer {
-        /// Whom to answer.
+        /// The caller to answer.
         caller: Caller,
         /// The answer.
         answer: call::Answer,
@@ -68,20 +70,21 @@
     Send {
         /// The owner.
         to: Peer,
-        /// The work.
+        /// The work message.
         work: wire::Work,
     },
-    /// Cancel whatever of a query is still open at an owner.
+    /// Cancel all portions of a query that are still open at an owner.
     Cancel {
         /// The owner.
         to: Peer,
-        /// The query.
+        /// The message that names the query.
         cancel: wire::Cancel,
     },
-    /// A request that is refused because servers ended under it came again.
+    /// A request with this fingerprint, which is quarantined because server processes crashed
+    /// under it, was received again and refused.
     Refused(Fingerprint),
-    /// Log what happened to a query.
+    /// Log the steps of a query.
     Log(Box<Explanation>),
-    /// Step a counter.
+    /// Increment a counter.
     Count(Count),
 }
--- a/crates/core/src/gather/failover.rs
+++ b/crates/core/src/gather/failover.rs
@@ -1,4 +1,4 @@
-//! Moves work away from owners that are lost or silent.
+//! Moves portions away from owners that are lost or silent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,65 +17,69 @@
 use crate::time::Instant;
 use crate::view::{Peer, View};
 
-/// A silence timer served later than this after its time says nothing of the peer: this process
-/// itself did not run, and replies may wait unread.
-pub(super) const LATE: Duration = Duration::from_millis(10);
-/// Work that has been out for less than this share of its query's deadline is not moved because of
-/// silence: before reply times are learned, an operation that takes seconds would else be sent to
-/// every candidate within its first fractions of a second.
-const PATIENCE: u32 = 16;
+/// Longest delay of a silence timer that still allows a conclusion about the peer. If the timer is
+/// handled later, this process itself was delayed, and replies may have arrived and not been read
+/// yet.
+pub(super) const MAX_WAKE_DELAY: Duration = Duration::from_millis(10);
+/// A portion is moved because of silence only if it has been open for at least the query's
+/// deadline divided by this number. Without this limit, before reply times are known, an operation
+/// that takes seconds would be sent to every candidate within the first fractions of a second.
+const SILENCE_DEADLINE_DIVISOR: u32 = 16;
 
-/// How sure it is that an owner is lost.
+/// How certain it is that an owner is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Loss {
-    /// Nothing arrived from it for too long; it may still answer.
+pub(super) enum OwnerLoss {
+    /// Nothing arrived from the owner for longer than its silence limit; it may still reply.
     Silent,
-    /// The membership does not hold it live: it is dead, or leaves and finishes what it has.
-    Unlisted,
-    /// Its link broke.
-    Certain,
+    /// The membership does not consider the owner alive: it is dead, or it is leaving and finishes
+    /// its open work.
+    NotLive,
+    /// The link to the owner broke.
+    LinkBroken,
 }
 
 impl Machine {
-    /// The link to a peer broke.
+    /// Handles a broken link to a peer: moves the peer's open portions.
     pub(crate) fn link_down(&mut self, now: Instant, name: &str, out: &mut Vec<Action>) {
         let Some(peer) = self.peers.find(name) else {
             return;
         };
-        self.peers.silence(peer, now);
-        self.leave(now, peer, Loss::Certain, out);
+        self.peers.mark_silent(peer, now);
+        self.fail_over_peer(now, peer, OwnerLoss::LinkBroken, out);
     }
 
-    /// A new view is in force.
-    pub(crate) fn adopt(&mut self, now: Instant, view: Arc<View>, out: &mut Vec<Action>) {
-        let before = std::mem::replace(&mut self.view, view);
-        self.planner.forget();
+    /// Puts a new view into effect: ends quarantined queries and moves portions away from owners
+    /// that are no longer alive.
+    pub(crate) fn adopt_view(&mut self, now: Instant, view: Arc<View>, out: &mut Vec<Action>) {
+        let old_view = std::mem::replace(&mut self.view, view);
+        self.planner.clear();
         let view = Arc::clone(&self.view);
-        if !Arc::ptr_eq(&before.quarantine, &view.quarantine) {
-            self.stop_refused(now, out);
+        if !Arc::ptr_eq(&old_view.quarantine, &view.quarantine) {
+            self.finish_quarantined(now, out);
         }
-        self.near.forget(&view);
-        self.avoid.retain(|service| view.service(service).is_some());
+        self.aggregator_selector.reset_for_view(&view);
+        self.avoided_servers.retain(|service| view.service(service).is_some());
         let mut live: Map<&str, bool> = Map::default();
         let candidates = view.services.values().flat_map(|service| &service.candidates);
         for candidate in candidates {
             *live.entry(&candidate.peer.name).or_default() |= candidate.live;
         }
-        let mut gone: Vec<&str> =
+        let mut lost: Vec<&str> =
             live.iter().filter(|&(_, &live)| !live).map(|(&name, _)| name).collect();
-        gone.sort_unstable();
-        for name in gone {
+        lost.sort_unstable();
+        for name in lost {
             if let Some(peer) = self.peers.find(name) {
-                self.leave(now, peer, Loss::Unlisted, out);
+                self.fail_over_peer(now, peer, OwnerLoss::NotLive, out);
             }
         }
         let neighbours = view.neighbours.iter();
-        let near: Set<&str> = neighbours.map(|neighbour| &*neighbour.peer.name).collect();
-        self.peers.prune(|name| live.contains_key(name) || near.contains(name));
+        let neighbour_names: Set<&str> =
+            neighbours.map(|neighbour| &*neighbour.peer.name).collect();
+        self.peers.prune(|name| live.contains_key(name) || neighbour_names.contains(name));
     }
 
-    /// A peer may have been silent for too long.
-    pub(crate) fn peer_due(
+    /// Handles a peer's silence timer: moves the peer's portions if its silence limit has passed.
+    pub(crate) fn peer_timer_due(
         &mut self,
         now: Instant,
         at: Instant,
@@ -89,128 +93,150 @@
         let Some(overdue) = state.overdue_at() else {
             return;
         };
-        if now.since(at) > LATE {
-            self.peers.restart_clocks(now);
-        } else if overdue <= now && (self.peers.is_flood(now) || !self.is_impatient(now, key)) {
-            self.look_again(now, key);
+        if now.since(at) > MAX_WAKE_DELAY {
+            self.peers.restart_silence_clocks(now);
+        } else if overdue <= now
+            && (self.peers.is_local_fault_likely(now) || !self.has_long_open_portion(now, key))
+        {
+            self.defer_decision(now, key);
             return;
         } else if overdue <= now {
-            self.peers.silence(key, now);
-            self.leave(now, key, Loss::Silent, out);
-            self.peers.restart_clock(key, now);
+            self.peers.mark_silent(key, now);
+            self.fail_over_peer(now, key, OwnerLoss::Silent, out);
+            self.peers.restart_silence_clock(key, now);
         }
-        self.watch(now, key);
+        self.arm_silence_timer(now, key);
     }
 
-    /// Something has been out at a peer for long, by its own deadline.
-    fn is_impatient(&self, now: Instant, peer: PeerKey) -> bool {
+    /// Returns whether some portion has been open at a peer for long, relative to the query's
+    /// deadline.
+    fn has_long_open_portion(&self, now: Instant, peer: PeerKey) -> bool {
         self.queries.values().any(|query| {
             let portions = query.portions.iter();
             let mut sendings = portions.flat_map(|portion| &portion.sendings);
-            sendings.any(|sending| relies(now, query, sending, peer, Loss::Silent))
+            sendings.any(|sending| is_unreliable(now, query, sending, peer, OwnerLoss::Silent))
         })
     }
 
-    /// Puts a decision off; the silence goes on counting.
-    fn look_again(&mut self, now: Instant, key: PeerKey) {
+    /// Checks a peer again after half its silence limit; its silence clock keeps running.
+    fn defer_decision(&mut self, now: Instant, key: PeerKey) {
         if let Some(state) = self.peers.get_mut(key) {
-            let at = now + state.limit() / 2;
+            let at = now + state.silence_limit() / 2;
             state.timer = Some(at);
             self.timers.add(at, Timer::Peer(key));
         }
     }
 
-    /// Moves what is open at a peer to the next candidates, where it may be moved.
-    fn leave(&mut self, now: Instant, peer: PeerKey, loss: Loss, out: &mut Vec<Action>) {
+    /// Moves the open portions of all queries from a peer to the next candidates, where permitted.
+    fn fail_over_peer(
+        &mut self,
+        now: Instant,
+        peer: PeerKey,
+        loss: OwnerLoss,
+        out: &mut Vec<Action>,
+    ) {
         let keys: Vec<QueryKey> = self.queries.keys().collect();
         for key in keys {
-            let portions = self.held_by(now, key, peer, loss);
+            let portions = self.unreliable_portions(now, key, peer, loss);
             if portions.is_empty() {
                 continue;
             }
-            self.leave_query(now, key, peer, &portions, loss, out);
+            self.fail_over_portions(now, key, peer, &portions, loss, out);
             self.finish_if_settled(now, key, out);
         }
     }
 
-    /// Portions of a query whose reply from `peer` can no longer be relied on.
-    fn held_by(&self, now: Instant, key: QueryKey, peer: PeerKey, loss: Loss) -> Vec<usize> {
+    /// Returns the positions of a query's portions whose reply from `peer` can no longer be relied
+    /// on.
+    fn unreliable_portions(
+        &self,
+        now: Instant,
+        key: QueryKey,
+        peer: PeerKey,
+        loss: OwnerLoss,
+    ) -> Vec<usize> {
         let query = &self.queries[key];
-        if query.terms.unrepeatable && loss != Loss::Certain {
-            // It may not go elsewhere, and an owner that is leaving finishes what it holds.
+        if query.terms.unrepeatable && loss != OwnerLoss::LinkBroken {
+            // Non-idempotent work must not be sent elsewhere, and an owner that is leaving
+            // finishes its open work.
             return Vec::new();
         }
-        let held = |portion: &Portion| {
+        let is_affected = |portion: &Portion| {
             let mut sendings = portion.sendings.iter();
-            portion.is_open() && sendings.any(|sending| relies(now, query, sending, peer, loss))
+            portion.is_open()
+                && sendings.any(|sending| is_unreliable(now, query, sending, peer, loss))
         };
         let portions = query.portions.iter().enumerate();
-        portions.filter(|(_, portion)| held(portion)).map(|(position, _)| position).collect()
+        portions.filter(|(_, portion)| is_affected(portion)).map(|(position, _)| position).collect()
     }
 
-    /// Moves portions of one query to the next candidates, where they may be moved.
-    pub(super) fn leave_query(
+    /// Moves portions of one query from a peer to the next candidates, where permitted.
+    pub(super) fn fail_over_portions(
         &mut self,
         now: Instant,
         key: QueryKey,
         peer: PeerKey,
         portions: &[usize],
-        loss: Loss,
+        loss: OwnerLoss,
         out: &mut Vec<Action>,
     ) {
-        self.note_loss(now, key, peer, portions);
-        let mut targets = Vec::new();
+        self.record_loss(now, key, peer, portions);
+        let mut destinations = Vec::new();
         for &position in portions {
             let next = self.next_after_loss(now, key, position);
-            if next.is_some() || loss == Loss::Certain {
-                self.give_up(key, position, peer, loss);
+            if next.is_some() || loss == OwnerLoss::LinkBroken {
+                self.stop_relying_on(key, position, peer, loss);
             }
-            if self.queries[key].portions[position].is_relied_on() {
+            if self.queries[key].portions[position].has_reliable_sending() {
                 continue;
             }
             match (next, loss) {
-                (Some(next), _) => targets.push((position, next)),
-                (None, Loss::Certain) if !self.queries[key].portions[position].is_awaited() => {
-                    self.settle(key, position, Reason::OwnerLost, out);
+                (Some(next), _) => destinations.push((position, next)),
+                (None, OwnerLoss::LinkBroken)
+                    if !self.queries[key].portions[position].awaits_reply() =>
+                {
+                    self.refuse_portion(key, position, Reason::OwnerLost, out);
                 }
                 (None, _) => {}
             }
         }
-        for _ in &targets {
+        for _ in &destinations {
             count(out, count::Event::Retry, Reason::OwnerLost);
         }
-        self.send(now, key, targets, Some(Reason::OwnerLost), out);
+        self.send(now, key, destinations, Some(Reason::OwnerLost), out);
     }
 
-    fn note_loss(&mut self, now: Instant, key: QueryKey, peer: PeerKey, portions: &[usize]) {
+    fn record_loss(&mut self, now: Instant, key: QueryKey, peer: PeerKey, portions: &[usize]) {
         let Some(state) = self.peers.get(peer) else {
             return;
         };
         let step = Step::Lost { owner: state.peer.name.clone(), portions: portions.len() as u32 };
-        self.history.add(self.queries[key].account, now, step);
+        self.history.add(self.queries[key].history_id, now, step);
     }
 
-    /// Where a portion goes after its owner is lost; `None` if it may not go or has nowhere to.
+    /// Selects the receiver of a portion whose owner is lost; `None` if the portion must not be
+    /// sent again or there is no other candidate.
     fn next_after_loss(&mut self, now: Instant, key: QueryKey, position: usize) -> Option<Peer> {
         let query = &self.queries[key];
         let portion = &query.portions[position];
-        let over = query.withdrawn || now >= query.answer_at;
-        if over || !may_send_again(query.terms.unrepeatable, portion) {
+        let is_ended = query.withdrawn || now >= query.answer_at;
+        if is_ended || !may_send_again(query.terms.unrepeatable, portion) {
             return None;
         }
         self.next_peer(now, key, position)
     }
 
-    /// Stops relying on the sendings of a portion to `peer`.
-    fn give_up(&mut self, key: QueryKey, position: usize, peer: PeerKey, loss: Loss) {
+    /// Marks the sendings of a portion to `peer` as lost or overdue, so that the query no longer
+    /// relies on them.
+    fn stop_relying_on(&mut self, key: QueryKey, position: usize, peer: PeerKey, loss: OwnerLoss) {
         let portion = &mut self.queries[key].portions[position];
         let sendings = portion.sendings.iter_mut();
         for sending in sendings.filter(|sending| sending.peer == peer) {
             if sending.progress == Progress::Open {
-                self.peers.ended(peer);
+                self.peers.record_closed(peer);
             }
             sending.progress = match (sending.progress, loss) {
-                (Progress::Open | Progress::Overdue, Loss::Certain) => Progress::Lost,
+                (Progress::Open | Progress::Overdue, OwnerLoss::LinkBroken) => Progress::Lost,
                 (Progress::Open, _) => Progress::Overdue,
                 (progress, _) => progress,
             };
@@ -218,17 +244,25 @@
     }
 }
 
-/// The query relies on a sending to `peer` that this loss makes unreliable.
-fn relies(now: Instant, query: &Query, sending: &Sending, peer: PeerKey, loss: Loss) -> bool {
-    let lost = match loss {
-        Loss::Silent => {
-            // A collecting peer has a time to speak at, and no reply of it is due before.
-            let out_for = now.since(sending.at);
-            let open = sending.progress == Progress::Open && !sending.collected;
-            open && out_for >= query.terms.deadline / PATIENCE
+/// Returns whether a sending went to `peer` and can no longer be relied on after a loss of this
+/// kind.
+fn is_unreliable(
+    now: Instant,
+    query: &Query,
+    sending: &Sending,
+    peer: PeerKey,
+    loss: OwnerLoss,
+) -> bool {
+    let is_lost = match loss {
+        OwnerLoss::Silent => {
+            // A partial aggregator has to report by the sweep's target time, and its reply is not
+            // due earlier.
+            let open_for = now.since(sending.at);
+            let open = sending.progress == Progress::Open && !sending.is_aggregated;
+            open && open_for >= query.terms.deadline / SILENCE_DEADLINE_DIVISOR
         }
-        Loss::Unlisted => sending.progress == Progress::Open,
-        Loss::Certain => sending.progress <= Progress::Overdue,
+        OwnerLoss::NotLive => sending.progress == Progress::Open,
+        OwnerLoss::LinkBroken => sending.progress <= Progress::Overdue,
     };
-    sending.peer == peer && lost
+    sending.peer == peer && is_lost
 }
--- a/crates/core/src/gather/forward.rs
+++ b/crates/core/src/gather/forward.rs
@@ -1,4 +1,4 @@
-//! Plans messages that are forwarded: their route, their destination and the terms they run under.
+//! Plans forwarded messages: their route, their destination and the terms under which they run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,53 +7,56 @@
 use ladder_schema::outcome::Reason;
 
 use super::check::Refusal;
-use super::plan::{Plan, Share, Terms};
+use super::plan::{Plan, ServiceShards, Terms};
 use crate::collections::Map;
 use crate::route::{Destination, Route};
 use crate::view::{Server, View};
 
-/// Chooses destinations and plans messages for them.
+/// Selects destinations of forwarded messages and plans the messages.
 #[derive(Debug, Default)]
-pub(crate) struct Forwarder {
-    splits: Map<String, Split>,
+pub(crate) struct RoutePlanner {
+    splits: Map<String, WeightedSplit>,
 }
 
-/// How far a route's destinations are from their weights.
+/// Distributes the messages of a route over its destinations in proportion to their weights.
 #[derive(Clone, Debug)]
-struct Split {
+struct WeightedSplit {
     weights: Vec<f64>,
-    /// Messages that each is owed beyond those that it got.
+    /// Number of messages that each destination should have received in addition to those that it
+    /// did receive.
     ///
-    /// Invariant: as many as `weights`; they sum to zero, and each stays within one message.
-    owed: Vec<f64>,
+    /// Invariant: one value for each of `weights`; the values sum to zero, and each stays within
+    /// one message.
+    credits: Vec<f64>,
 }
 
-impl Split {
+impl WeightedSplit {
     fn new(weights: Vec<f64>) -> Self {
-        Self { owed: vec![0.0; weights.len()], weights }
+        Self { credits: vec![0.0; weights.len()], weights }
     }
 
-    /// The destination that is owed most once each has earned its part of one more message.
+    /// Returns the position of the destination with the greatest credit, after each has been
+    /// credited with its fraction of one more message.
     ///
-    /// Drawing by lot would miss a weight by several in a hundred for seconds on end at a few
-    /// messages a second; this never misses it by more than one message.
+    /// At a few messages a second, a random selection would deviate from a weight by several
+    /// percent for seconds at a time; this method never deviates by more than one message.
     fn next(&mut self) -> usize {
         let total: f64 = self.weights.iter().sum();
-        let earned = self.owed.iter_mut().zip(&self.weights);
-        earned.for_each(|(owed, weight)| *owed += weight / total);
-        let mut most = 0;
-        for at in 1..self.owed.len() {
-            if self.owed[at] > self.owed[most] {
-                most = at;
+        let weighted = self.credits.iter_mut().zip(&self.weights);
+        weighted.for_each(|(credit, weight)| *credit += weight / total);
+        let mut largest = 0;
+        for candidate in 1..self.credits.len() {
+            if self.credits[candidate] > self.credits[largest] {
+                largest = candidate;
             }
         }
-        self.owed[most] -= 1.0;
-        most
+        self.credits[largest] -= 1.0;
+        largest
     }
 }
 
-impl Forwarder {
-    /// Plans a message, or says why it is refused.
+impl RoutePlanner {
+    /// Plans a message, or returns why it is refused.
     pub(crate) fn plan(
         &mut self,
         view: &View,
@@ -65,62 +68,65 @@
         };
         let Some(route) = table.find(&message.host, &message.target) else {
             let (host, target, version) = (&message.host, &message.target, table.version);
-            let detail = format!("{host}{target}; no route of version {version} leads there");
+            let detail = format!("{host}{target}; no route of version {version} matches");
             return Err(Refusal::new(Reason::UnknownRoute, detail));
         };
-        if let Some(refusal) = out_of_reach(view, route) {
+        if let Some(refusal) = refuse_unreachable_floor(view, route) {
             return Err(refusal);
         }
-        let destination = self.choose(route);
-        let mut shares: Vec<Arc<Share>> = Vec::with_capacity(destination.index.shards.len());
+        let destination = self.choose_destination(route);
+        let mut service_shards: Vec<Arc<ServiceShards>> =
+            Vec::with_capacity(destination.index.shards.len());
         for (position, shard) in (0u32..).zip(&destination.index.shards) {
             let known = view.service(&shard.service);
             let service = known
                 .map_or_else(|| shard.service.as_str().into(), |known| Arc::clone(&known.name));
-            shares.push(Arc::new(Share { service, shards: vec![position] }));
+            service_shards.push(Arc::new(ServiceShards { service, shards: vec![position] }));
         }
-        shares.sort_by(|a, b| a.service.cmp(&b.service));
+        service_shards.sort_by(|a, b| a.service.cmp(&b.service));
         Ok(Plan {
             index: Arc::clone(&destination.index),
-            shares: shares.into(),
+            service_shards: service_shards.into(),
             missing: Vec::new(),
-            terms: terms(route, request),
+            terms: forward_terms(route, request),
             route: Some(Arc::clone(route)),
         })
     }
 
-    fn choose<'a>(&mut self, route: &'a Route) -> &'a Destination {
-        let [only] = &route.destinations[..] else {
+    fn choose_destination<'a>(&mut self, route: &'a Route) -> &'a Destination {
+        let [destination] = &route.destinations[..] else {
             let weights = route.destinations.iter().map(|destination| destination.weight);
             let weights: Vec<f64> = weights.collect();
             let split = self.splits.entry(route.spec.name.clone());
-            let split = split.or_insert_with(|| Split::new(weights.clone()));
+            let split = split.or_insert_with(|| WeightedSplit::new(weights.clone()));
             if split.weights != weights {
-                *split = Split::new(weights);
+                *split = WeightedSplit::new(weights);
             }
             return &route.destinations[split.next()];
         };
-        only
+        destination
     }
 }
 
-/// Why too few parts of any destination of a route can be had, if so: their services have servers, but none
-/// that may receive work.
+/// Refuses a message if every destination of its route has too few parts within reach: too many
+/// parts belong to services that have servers, but none that may receive work.
 ///
-/// The caller hears at once that nothing ran, and the other parts' servers do no work in vain.
-fn out_of_reach(view: &View, route: &Route) -> Option<Refusal> {
+/// The caller learns immediately that nothing ran, and the servers of the other parts do no
+/// useless work.
+fn refuse_unreachable_floor(view: &View, route: &Route) -> Option<Refusal> {
     let mut refusal = None;
     for destination in &route.destinations {
         let shards = &destination.index.shards;
         let homes = &route.spec.homes;
-        let excluded = shards.iter().filter_map(|shard| exclusion(view, homes, &shard.service));
+        let excluded =
+            shards.iter().filter_map(|shard| exclusion_reason(view, homes, &shard.service));
         let excluded: Vec<Reason> = excluded.collect();
         let floor = route.floor(shards.len());
         if shards.len() - excluded.len() >= floor {
             return None;
         }
-        let known = [Reason::NoHome, Reason::Evacuated];
-        let reason = known.into_iter().find(|reason| excluded.contains(reason));
+        let exclusion_reasons = [Reason::NoHome, Reason::Evacuated];
+        let reason = exclusion_reasons.into_iter().find(|reason| excluded.contains(reason));
         let reason = reason.unwrap_or(Reason::NoServer);
         let detail = format!(
             "route {}: {} of {} services have no server that may receive work, and {floor} are needed",
@@ -133,31 +139,31 @@
     refusal
 }
 
-/// Why none of a service's servers may receive work of a route with these homes; `None` if one may, or if
-/// none is known.
-fn exclusion(view: &View, homes: &[String], service: &str) -> Option<Reason> {
+/// Returns why none of a service's servers may receive work of a route that is restricted to the
+/// regions `homes`; `None` if a server may receive it, or if no server is known.
+fn exclusion_reason(view: &View, homes: &[String], service: &str) -> Option<Reason> {
     let servers = &view.service(service)?.servers;
-    let mut home = servers.iter().filter(|server| view.is_home(homes, &server.zone));
-    if servers.is_empty() || home.clone().any(Server::takes_work) {
+    let mut home_servers = servers.iter().filter(|server| view.is_home(homes, &server.zone));
+    if servers.is_empty() || home_servers.clone().any(Server::takes_work) {
         return None;
     }
-    let evacuated = home.clone().any(|server| server.evacuated);
-    Some(match (home.next(), evacuated) {
+    let evacuated = home_servers.clone().any(|server| server.evacuated);
+    Some(match (home_servers.next(), evacuated) {
         (None, _) => Reason::NoHome,
         (Some(_), true) => Reason::Evacuated,
         (Some(_), false) => Reason::NoServer,
     })
 }
 
-fn terms(route: &Route, request: &call::Request) -> Terms {
+fn forward_terms(route: &Route, request: &call::Request) -> Terms {
     let timeout = Duration::from_millis(route.spec.timeout_ms.into());
-    let asked = match request.deadline_ms {
+    let requested = match request.deadline_ms {
         0 => timeout,
         deadline => Duration::from_millis(deadline.into()),
     };
     Terms {
         unrepeatable: route.spec.unrepeatable,
         complete: !route.is_sweep(),
-        deadline: timeout.min(asked),
+        deadline: timeout.min(requested),
     }
 }
--- a/crates/core/src/gather/history.rs
+++ b/crates/core/src/gather/history.rs
@@ -1,4 +1,4 @@
-//! What the machine did with its last queries, for operators.
+//! Steps of the most recent queries, for operators.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,141 +9,146 @@
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 
-/// Steps kept of one query; a wide sweep has more and keeps its first ones and its answer.
-const STEPS: usize = 96;
+/// Maximum number of steps kept for one query; of a wide sweep with more steps, the first ones and
+/// the answer are kept.
+const MAX_STEPS_PER_QUERY: usize = 96;
 
-/// One thing that happened to a query.
+/// One step in the processing of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// The caller's request arrived.
     Arrived {
-        /// Its attempt number.
+        /// Attempt number of the request.
         attempt: u32,
-        /// What is asked and by whom.
+        /// Fingerprint of the request's content and user.
         fingerprint: Fingerprint,
     },
     /// The route of a forwarded message was found.
     Routed {
-        /// Its name.
+        /// Name of the route.
         route: Arc<str>,
-        /// Time that the message has.
+        /// Time from arrival within which the message has to be answered.
         deadline: Duration,
-        /// Time within which its answer is worth its full price; zero: none.
+        /// Time from arrival within which an answer has its full value; zero if the route has no
+        /// target time.
         target: Duration,
     },
     /// An index version was pinned.
     Pinned {
-        /// The version.
+        /// The pinned version.
         version: u64,
         /// Number of portions, one per service.
         portions: u32,
-        /// Asked shards that cannot be had in it.
+        /// Number of requested shards that are unavailable in the pinned version.
         missing: u32,
     },
     /// Portions were sent to an owner.
     Sent {
         /// Name of the owner's instance.
         to: Arc<str>,
-        /// Number of the sending in the query.
+        /// Number of the work message within the query.
         round: u32,
-        /// Number of portions.
+        /// Number of portions in the work message.
         portions: u32,
-        /// Why they were sent again or twice; `None` for the first sending.
+        /// Why the portions were sent again or sent a second time in parallel; `None` for the
+        /// first sending.
         again: Option<Reason>,
     },
-    /// A valid reply came.
+    /// A valid reply to a portion arrived.
     Replied {
-        /// Name of the instance that sent it.
+        /// Name of the instance that sent the reply.
         from: Arc<str>,
-        /// Service of the portion.
+        /// Name of the portion's service.
         service: Arc<str>,
-        /// Its verdict.
+        /// Verdict of the reply.
         verdict: Verdict,
-        /// Its reason; unspecified when the portion is covered.
+        /// Reason of the reply; unspecified if the portion is covered.
         reason: Reason,
     },
-    /// Portions at an owner are no longer relied on.
+    /// The query no longer relies on portions at an owner.
     Lost {
         /// Name of the owner's instance.
         owner: Arc<str>,
-        /// Number of portions.
+        /// Number of portions that are no longer relied on.
         portions: u32,
     },
-    /// The request was refused whole.
+    /// The request was refused before any of it was sent.
     Refused {
-        /// Names the field or the version that it was refused by.
+        /// Message that names the field or version because of which the request was refused.
         detail: Arc<str>,
     },
-    /// The query can only be refused; its owners are asked what became of the rest.
+    /// The query can only be refused, and its owners are asked whether the open portions ran.
     Withdrawn {
-        /// Number of portions still out.
+        /// Number of portions that are still open.
         portions: u32,
     },
     /// The caller closed its connection.
     Gone,
     /// The caller was answered.
     Answered {
-        /// The verdict.
+        /// Verdict of the answer.
         verdict: Verdict,
-        /// The reason of a refusal.
+        /// Reason of a refusal; unspecified otherwise.
         reason: Reason,
-        /// Shards covered.
+        /// Number of covered shards.
         covered: u32,
-        /// Shards missing.
+        /// Number of missing shards.
         missing: u32,
     },
 }
 
-/// A step with its time.
+/// A step of a query with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamp {
-    /// When it happened.
+    /// When the step happened.
     pub at: Instant,
-    /// What happened.
+    /// The step.
     pub step: Step,
 }
 
-/// The account of one query.
+/// Steps of one query in order, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
     /// The request key.
     pub key: String,
-    /// The query number, as in the messages to owners, of its first snapshot.
+    /// Query number, as sent to owners, that the query had before any restart.
     pub query: u64,
     /// The steps in order.
     pub steps: Vec<Stamp>,
-    /// Steps left out because the query has too many.
+    /// Number of steps that were left out because the query has too many.
     pub omitted: u32,
 }
 
 impl Explanation {
-    /// All shards were covered at the first attempt and within the target time.
+    /// Returns whether all shards were covered at the first attempt and within the target time.
     pub fn is_plain(&self) -> bool {
         let first = self.steps.first().map(|stamp| stamp.at).unwrap_or_default();
         let mut target = Duration::ZERO;
         self.steps.iter().all(|stamp| match &stamp.step {
-            Step::Routed { target: of_route, .. } => {
-                target = *of_route;
+            Step::Routed { target: route_target, .. } => {
+                target = *route_target;
                 true
             }
             Step::Sent { again, .. } => again.is_none(),
             Step::Lost { .. } | Step::Refused { .. } | Step::Withdrawn { .. } | Step::Gone => false,
             Step::Answered { reason, missing, .. } => {
-                let late = !target.is_zero() && stamp.at.since(first) > target;
-                *reason == Reason::Unspecified && *missing == 0 && !late
+                let is_late = !target.is_zero() && stamp.at.since(first) > target;
+                *reason == Reason::Unspecified && *missing == 0 && !is_late
             }
             Step::Arrived { .. } | Step::Pinned { .. } | Step::Replied { .. } => true,
         })
     }
 }
 
-/// A ring of the accounts of the last queries.
+/// Ring buffer of the histories of the most recent queries.
 #[derive(Debug)]
 pub(crate) struct History {
     ring: VecDeque<Explanation>,
+    /// Maximum number of histories in the ring.
+    ///
     /// Invariant: `ring.len() <= capacity`.
     capacity: usize,
-    /// Number of the oldest account in the ring.
+    /// Identifier of the oldest history in the ring.
     oldest: u64,
 }
 
@@ -152,7 +157,7 @@
         Self { ring: VecDeque::with_capacity(capacity), capacity, oldest: 0 }
     }
 
-    /// Starts an account and returns its number.
+    /// Starts the history of a query and returns the identifier of the history.
     pub(crate) fn begin(&mut self, key: &str, query: u64) -> u64 {
         if self.ring.len() >= self.capacity {
             self.ring.pop_front();
@@ -169,29 +174,29 @@
         self.oldest + self.ring.len() as u64 - u64::from(self.capacity > 0)
     }
 
-    /// Adds a step to an account that may have left the ring.
-    pub(crate) fn add(&mut self, account: u64, at: Instant, step: Step) {
-        let Some(place) = account.checked_sub(self.oldest) else {
+    /// Adds a step to a history; does nothing if the history has left the ring.
+    pub(crate) fn add(&mut self, id: u64, at: Instant, step: Step) {
+        let Some(offset) = id.checked_sub(self.oldest) else {
             return;
         };
-        let Some(account) = self.ring.get_mut(place as usize) else {
+        let Some(explanation) = self.ring.get_mut(offset as usize) else {
             return;
         };
-        let last = matches!(step, Step::Answered { .. });
-        if account.steps.len() >= STEPS && !last {
-            account.omitted += 1;
+        let is_last = matches!(step, Step::Answered { .. });
+        if explanation.steps.len() >= MAX_STEPS_PER_QUERY && !is_last {
+            explanation.omitted += 1;
             return;
         }
-        account.steps.push(Stamp { at, step });
+        explanation.steps.push(Stamp { at, step });
     }
 
-    /// An account that has not left the ring.
-    pub(crate) fn get(&self, account: u64) -> Option<&Explanation> {
-        self.ring.get(account.checked_sub(self.oldest)? as usize)
+    /// Returns a history that has not left the ring.
+    pub(crate) fn get(&self, id: u64) -> Option<&Explanation> {
+        self.ring.get(id.checked_sub(self.oldest)? as usize)
     }
 
-    /// The account of the last query with this key.
+    /// Returns the history of the most recent query with this request key.
     pub(crate) fn find(&self, key: &str) -> Option<&Explanation> {
-        self.ring.iter().rev().find(|account| account.key == key)
+        self.ring.iter().rev().find(|explanation| explanation.key == key)
     }
 }
--- a/crates/core/src/gather/machine.rs
+++ b/crates/core/src/gather/machine.rs
@@ -1,4 +1,4 @@
-//! The gathering machine.
+//! The gathering machine: the state machine that handles callers' requests and owners' replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use ladder_schema::outcome::{Reason, Verdict};
 use slotmap::SlotMap;
 
-use super::avoid::Avoid;
+use super::avoid::AvoidedServers;
 use super::check::{self, Refusal};
 use super::event::{Action, Caller, Event};
-use super::forward::Forwarder;
+use super::forward::RoutePlanner;
 use super::history::{Explanation, History, Step};
-use super::keys::Keys;
-use super::near::Near;
+use super::keys::RequestKeys;
+use super::near::AggregatorSelector;
 use super::peers::Peers;
 use super::plan::{Plan, Planner};
-use super::query::{Name, Query, QueryKey};
+use super::query::{Query, QueryIds, QueryKey};
 use super::timers::{Timer, Timers};
 use super::{answer, settings::Settings};
 use crate::collections::Map;
@@ -26,126 +26,133 @@
 use crate::time::Instant;
 use crate::view::View;
 
-/// Queries open at once; more are refused.
+/// Maximum number of open queries; further requests are refused.
 ///
-/// Callers that wait for a stuck service would otherwise fill the memory of every instance and take
-/// the other services with it.
-const OPEN_QUERIES: usize = 10_000;
+/// Otherwise, callers that wait for a stuck service would fill the memory of every instance and
+/// make the other services unavailable too.
+const MAX_OPEN_QUERIES: usize = 10_000;
 
-/// Takes callers' requests, plans them over shards, gathers the answers.
+/// Accepts callers' requests, plans them over shards, sends the portions to owners and gathers the
+/// replies into answers.
 ///
 /// Every [`Event::Call`] is answered by exactly one [`Action::Answer`] before the caller's
-/// deadline, if the machine is woken when it asks for it.
+/// deadline, provided that the machine receives an [`Event::Tick`] at the time given by
+/// [`Machine::next_wake`].
 #[derive(Debug)]
 pub struct Machine {
     pub(crate) settings: Settings,
     pub(crate) view: Arc<View>,
     draining: bool,
     pub(crate) planner: Planner,
-    pub(crate) near: Near,
-    pub(crate) avoid: Avoid,
-    forwarder: Forwarder,
+    pub(crate) aggregator_selector: AggregatorSelector,
+    pub(crate) avoided_servers: AvoidedServers,
+    route_planner: RoutePlanner,
     pub(crate) queries: SlotMap<QueryKey, Query>,
-    /// Invariant: holds exactly the present numbers of `queries`.
-    pub(crate) numbers: Map<u64, QueryKey>,
-    /// Invariant: holds exactly the callers of `queries`.
-    pub(crate) callers: Map<Caller, QueryKey>,
-    /// The last query number given out.
+    /// Open queries by their current query number.
+    ///
+    /// Invariant: contains exactly the current numbers of `queries`.
+    pub(crate) query_by_number: Map<u64, QueryKey>,
+    /// Open queries by caller.
+    ///
+    /// Invariant: contains exactly the callers of `queries`.
+    pub(crate) query_by_caller: Map<Caller, QueryKey>,
+    /// The query number that was assigned last.
     last_number: u64,
-    pub(crate) keys: Keys,
+    pub(crate) request_keys: RequestKeys,
     pub(crate) peers: Peers,
     pub(crate) timers: Timers,
     pub(crate) history: History,
 }
 
 impl Machine {
-    /// A machine that refuses everything as not ready until its first view.
+    /// Creates a machine that refuses every request as not ready until it receives its first view.
     pub fn new(settings: Settings) -> Self {
         Self {
-            history: History::new(settings.history),
+            history: History::new(settings.history_capacity),
             peers: Peers::new(Arc::clone(&settings.name)),
             settings,
             view: Arc::default(),
             draining: false,
             planner: Planner::default(),
-            near: Near::default(),
-            avoid: Avoid::default(),
-            forwarder: Forwarder::default(),
+            aggregator_selector: AggregatorSelector::default(),
+            avoided_servers: AvoidedServers::default(),
+            route_planner: RoutePlanner::default(),
             queries: SlotMap::default(),
-            numbers: Map::default(),
-            callers: Map::default(),
+            query_by_number: Map::default(),
+            query_by_caller: Map::default(),
             last_number: 0,
-            keys: Keys::default(),
+            request_keys: RequestKeys::default(),
             timers: Timers::default(),
         }
     }
 
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         if let Event::Gone(caller) = event {
-            self.gone(now, caller, out);
+            self.handle_gone(now, caller, out);
         }
-        // Whatever the event would make the machine send, nothing is sent for a query whose
-        // deadline passed while nobody woke the machine.
+        // Expired queries end before the event is handled, so that nothing is sent for a query
+        // whose deadline passed while the machine was not woken.
         let reason = match event {
             Event::Paused(_) => Reason::Paused,
             _ => Reason::Deadline,
         };
-        self.expire(now, reason, out);
+        self.finish_expired(now, reason, out);
         match event {
-            Event::Call { caller, request } => self.call(now, caller, request, out),
-            Event::Replies { from, replies } => self.replies(now, &from, replies, out),
-            Event::Pending { from, pending } => self.pending(now, &from, &pending),
+            Event::Call { caller, request } => self.handle_call(now, caller, request, out),
+            Event::Replies { from, replies } => self.handle_replies(now, &from, replies, out),
+            Event::Pending { from, pending } => self.handle_pending(now, &from, &pending),
             Event::LinkDown(name) => self.link_down(now, &name, out),
-            Event::View(view) => self.adopt(now, view, out),
-            Event::Paused(_) => self.peers.restart_clocks(now),
+            Event::View(view) => self.adopt_view(now, view, out),
+            Event::Paused(_) => self.peers.restart_silence_clocks(now),
             Event::Drain => self.draining = true,
             Event::Cut => {
                 self.draining = true;
-                self.cut(now, out);
+                self.finish_all(now, out);
             }
             Event::Gone(_) | Event::Tick => {}
         }
-        self.wake(now, out);
+        self.serve_timers(now, out);
     }
 
-    /// When the machine wants an [`Event::Tick`].
+    /// Returns when the machine needs an [`Event::Tick`]; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Instant> {
         self.timers.next()
     }
 
-    /// Number of open queries.
+    /// Returns the number of open queries.
     pub fn open(&self) -> usize {
         self.queries.len()
     }
 
-    /// What happened to the last query with this request key, if it is among the last few hundred.
+    /// Returns the steps of the most recent query with this request key, if the query is among the
+    /// last ones that `Builder::history` keeps.
     pub fn explain(&self, key: &str) -> Option<&Explanation> {
         self.history.find(key)
     }
 
-    /// Takes a new query number.
-    pub(crate) fn number(&mut self) -> u64 {
+    /// Assigns a new query number.
+    pub(crate) fn next_query_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    fn call(
+    fn handle_call(
         &mut self,
         now: Instant,
         caller: Caller,
         request: call::Request,
         out: &mut Vec<Action>,
     ) {
-        let number = self.number();
-        let account = self.history.begin(&request.key, number);
+        let number = self.next_query_number();
+        let history_id = self.history.begin(&request.key, number);
         let attempt = request.attempt.max(1);
         let fingerprint = Fingerprint::of(&request);
-        self.history.add(account, now, Step::Arrived { attempt, fingerprint });
+        self.history.add(history_id, now, Step::Arrived { attempt, fingerprint });
         match self.admit(&request, fingerprint) {
             Ok(plan) => {
-                let name = Name { number, account, fingerprint };
-                self.start(now, caller, request, name, plan, out);
+                let ids = QueryIds { number, history_id, fingerprint };
+                self.start(now, caller, request, ids, plan, out);
             }
             Err((refusal, verdict)) => {
                 count(out, count::Event::Refusal, refusal.reason);
@@ -153,21 +160,22 @@
                     out.push(Action::Refused(fingerprint));
                 }
                 let detail = refusal.detail.as_str().into();
-                self.history.add(account, now, Step::Refused { detail });
-                let answer = answer::refusal(&request.key, &request.index, refusal, verdict);
-                self.answer(now, caller, account, answer, out);
+                self.history.add(history_id, now, Step::Refused { detail });
+                let answer = answer::refusal_answer(&request.key, &request.index, refusal, verdict);
+                self.send_answer(now, caller, history_id, answer, out);
             }
         }
     }
 
-    /// Plans a request, or says why it is refused and whether an earlier one with its key ran.
+    /// Plans a request, or returns why it is refused and the verdict on an earlier request with
+    /// the same key.
     fn admit(
         &mut self,
         request: &call::Request,
         fingerprint: Fingerprint,
     ) -> Result<Plan, (Refusal, Verdict)> {
         let refuse = |refusal| (refusal, Verdict::NotRun);
-        check::check(request).map_err(refuse)?;
+        check::check_request(request).map_err(refuse)?;
         if self.draining {
             let refusal = Refusal::new(Reason::Draining, "the instance is shutting down");
             return Err(refuse(refusal));
@@ -176,23 +184,23 @@
             let refusal = Refusal::new(Reason::NotReady, "the instance has no catalogue yet");
             return Err(refuse(refusal));
         }
-        if self.queries.len() >= OPEN_QUERIES {
-            let detail = format!("{OPEN_QUERIES} requests are open here");
+        if self.queries.len() >= MAX_OPEN_QUERIES {
+            let detail = format!("{MAX_OPEN_QUERIES} requests are open here");
             return Err(refuse(Refusal::new(Reason::QueueFull, detail)));
         }
         if self.view.quarantine.refused.contains(&fingerprint) {
-            let detail = format!("fingerprint: {fingerprint}; servers ended under such requests");
+            let detail = format!("fingerprint: {fingerprint}; servers crashed under such requests");
             return Err(refuse(Refusal::new(Reason::Quarantined, detail)));
         }
         let plan = match &request.message {
-            Some(message) => self.forwarder.plan(&self.view, request, message),
-            None => self.planner.first(&self.view, request),
+            Some(message) => self.route_planner.plan(&self.view, request, message),
+            None => self.planner.first_plan(&self.view, request),
         };
         let plan = plan.map_err(refuse)?;
         if plan.terms.unrepeatable
-            && let Some(verdict) = self.keys.get(&request.key)
+            && let Some(verdict) = self.request_keys.get(&request.key)
         {
-            let detail = format!("key: {}; a request with it was taken here", request.key);
+            let detail = format!("key: {}; a request with this key was accepted here", request.key);
             return Err((Refusal::new(Reason::RepeatedKey, detail), verdict));
         }
         Ok(plan)
@@ -203,12 +211,12 @@
         now: Instant,
         caller: Caller,
         request: call::Request,
-        name: Name,
+        ids: QueryIds,
         plan: Plan,
         out: &mut Vec<Action>,
     ) {
         if plan.terms.unrepeatable {
-            self.keys.start(&request.key);
+            self.request_keys.start(&request.key);
         }
         if let Some(route) = &plan.route {
             let step = Step::Routed {
@@ -216,39 +224,39 @@
                 deadline: plan.terms.deadline,
                 target: Duration::from_millis(route.spec.target_ms.into()),
             };
-            self.history.add(name.account, now, step);
+            self.history.add(ids.history_id, now, step);
         }
-        let query = Query::new(now, caller, request, name, plan);
+        let query = Query::new(now, caller, request, ids, plan);
         let timer = query.timer;
         let key = self.queries.insert(query);
-        self.numbers.insert(name.number, key);
-        self.callers.insert(caller, key);
+        self.query_by_number.insert(ids.number, key);
+        self.query_by_caller.insert(caller, key);
         self.timers.add(timer, Timer::Query(key));
         self.send_all(now, key, None, out);
         self.finish_if_settled(now, key, out);
     }
 
-    fn gone(&mut self, now: Instant, caller: Caller, out: &mut Vec<Action>) {
-        let Some(&key) = self.callers.get(&caller) else {
+    fn handle_gone(&mut self, now: Instant, caller: Caller, out: &mut Vec<Action>) {
+        let Some(&key) = self.query_by_caller.get(&caller) else {
             return;
         };
-        self.cancel(key, out);
-        let Some(query) = self.remove(key) else {
+        self.cancel_query(key, out);
+        let Some(query) = self.remove_query(key) else {
             return;
         };
-        self.history.add(query.account, now, Step::Gone);
-        self.log(query.account, out);
+        self.history.add(query.history_id, now, Step::Gone);
+        self.log_if_notable(query.history_id, out);
         if query.terms.unrepeatable {
-            self.keys.end(&query.request.key, answer::verdict(&query));
+            self.request_keys.end(&query.request.key, answer::query_verdict(&query));
         }
     }
 
-    /// Answers a caller and closes the account.
-    pub(crate) fn answer(
+    /// Answers a caller and completes the query's history.
+    pub(crate) fn send_answer(
         &mut self,
         now: Instant,
         caller: Caller,
-        account: u64,
+        history_id: u64,
         mut answer: call::Answer,
         out: &mut Vec<Action>,
     ) {
@@ -259,23 +267,25 @@
             covered: answer.covered.len() as u32,
             missing: answer.missing.len() as u32,
         };
-        self.history.add(account, now, step);
-        self.log(account, out);
+        self.history.add(history_id, now, step);
+        self.log_if_notable(history_id, out);
         out.push(Action::Answer { caller, answer });
     }
 
-    /// Logs an account that tells of anything but a plain answer, and of the others those that the
-    /// sample names.
-    fn log(&self, account: u64, out: &mut Vec<Action>) {
-        let account = self.history.get(account);
-        let worth = |account: &&Explanation| !account.is_plain() || sample::contains(&account.key);
-        if let Some(account) = account.filter(worth) {
-            out.push(Action::Log(Box::new(account.clone())));
+    /// Logs the history of a query unless all shards were covered at the first attempt and in
+    /// time; of such plain queries only those in the log sample are logged.
+    fn log_if_notable(&self, history_id: u64, out: &mut Vec<Action>) {
+        let explanation = self.history.get(history_id);
+        let should_log = |explanation: &&Explanation| {
+            !explanation.is_plain() || sample::contains(&explanation.key)
+        };
+        if let Some(explanation) = explanation.filter(should_log) {
+            out.push(Action::Log(Box::new(explanation.clone())));
         }
     }
 }
 
-/// Asks for a step of a counter.
+/// Appends an action that increments a counter.
 pub(crate) fn count(out: &mut Vec<Action>, event: count::Event, reason: Reason) {
     out.push(Action::Count(Count { event, reason }));
 }
--- a/crates/core/src/gather/near.rs
+++ b/crates/core/src/gather/near.rs
@@ -1,10 +1,11 @@
-//! Chooses who asks the servers of each part of a sweep.
+//! Selects the instance that calls the servers of each part of a sweep.
 //!
-//! Were every instance to ask every server, each would see a fraction of a server's work: the
-//! server's queue would fill unseen while its sibling is free, and every instance would learn of a
-//! standing server by a call of its own. The parts of an index are therefore cut into groups, and
-//! each group is asked for by one instance near its servers for all sweeps of the fleet. It sees
-//! nearly all of their work, and sends the merged records of a group in one message.
+//! If every instance called every server, each would see only a fraction of a server's load: the
+//! server's queue would fill unnoticed while another replica is free, and every instance would
+//! detect an unresponsive server by a call of its own. The parts of an index are therefore divided
+//! into groups, and for all sweeps of the fleet, one instance near a group's servers (the partial
+//! aggregator) calls them. It sees nearly all of their load, and sends the merged records of a
+//! group in one message.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -19,293 +20,325 @@
 use crate::time::Instant;
 use crate::view::{Neighbour, Peer, View};
 
-/// Weight of one reply in what is held of a service's load.
-const BUSY_WEIGHT: f64 = 0.2;
-/// Between two decisions who asks.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// Work over slots below which every instance asks for itself again, and above which one asks for all.
-const BUSY: (f64, f64) = (0.3, 0.38);
+/// Weight of one reply in the moving average of a service's utilization.
+const UTILIZATION_SMOOTHING: f64 = 0.2;
+/// Interval at which a group's delegation is decided again.
+const DECISION_INTERVAL: Duration = Duration::from_millis(100);
+/// Utilization (requests in progress divided by slots) below which every instance calls a group's
+/// servers itself again, and above which one instance calls them for all.
+const DELEGATION_UTILIZATION: (f64, f64) = (0.3, 0.38);
 
-/// Parts below which a peer is not asked where servers are idle: two messages between instances cost
-/// about as many bytes as two parts.
-const PARTS: usize = 3;
+/// Minimum number of parts for which a peer aggregates while the servers are idle: two messages
+/// between instances cost about as many bytes as two parts.
+const MIN_DELEGATED_PARTS: usize = 3;
 
-/// Taken for the processor of an instance that does not say what it has, in thousandths of a core.
-const ONE_CORE: u32 = 1000;
-/// So that loads of different processors differ as whole numbers.
+/// Processor capacity, in thousandths of a core, assumed for an instance that does not publish its
+/// capacity.
+const DEFAULT_MILLICORES: u32 = 1000;
+/// Scales the load per processor capacity so that different loads differ as integers.
 const LOAD_SCALE: u64 = 1 << 32;
 
-/// Parts with the peer that is to collect them.
+/// A peer that aggregates parts of a sweep, with the parts' services.
 #[derive(Clone, Debug)]
-pub(crate) struct Collector {
-    /// The peer.
+pub(crate) struct PartialAggregator {
+    /// The peer that aggregates.
     pub(crate) peer: Peer,
-    /// Names of their services.
+    /// Names of the services whose parts the peer aggregates.
     pub(crate) services: Arc<Set<Arc<str>>>,
 }
 
-/// Parts that are asked for together.
+/// Parts of an index that one instance can call and aggregate together.
 #[derive(Clone, Debug)]
 struct Group {
-    /// Names of their services.
+    /// Names of the services of the group's parts.
     services: Arc<Set<Arc<str>>>,
-    /// Instances that may collect them, the preferred one first; `None` is this instance.
-    askers: Arc<[Option<Peer>]>,
-    /// One instance asks for them on behalf of all.
-    steady: bool,
-    /// Some of its servers have too few connections for every instance.
+    /// Instances that may aggregate the group, the preferred one first; `None` stands for this
+    /// instance.
+    aggregators: Arc<[Option<Peer>]>,
+    /// Whether one instance calls the group's servers on behalf of all instances.
+    delegated: bool,
+    /// Whether some of the group's servers have too few connections for every instance to call
+    /// them.
     scarce: bool,
-    /// When `steady` is decided anew.
-    look_at: Instant,
+    /// When `delegated` is decided again.
+    next_decision_at: Instant,
 }
 
 impl Group {
-    fn decide(&mut self, now: Instant, busy: &Map<Arc<str>, f64>) {
-        if now < self.look_at {
+    fn update_delegated(&mut self, now: Instant, utilization: &Map<Arc<str>, f64>) {
+        if now < self.next_decision_at {
             return;
         }
-        self.look_at = now + LOOK_EVERY;
-        let known = self.services.iter().filter_map(|service| busy.get(service));
-        let (count, sum) = known.fold((0, 0.0), |(count, sum), busy| (count + 1, sum + busy));
+        self.next_decision_at = now + DECISION_INTERVAL;
+        let known = self.services.iter().filter_map(|service| utilization.get(service));
+        let (count, sum) =
+            known.fold((0, 0.0), |(count, sum), utilization| (count + 1, sum + utilization));
         let mean = if count == 0 { 0.0 } else { sum / f64::from(count) };
-        self.steady = self.scarce || mean > if self.steady { BUSY.0 } else { BUSY.1 };
+        self.delegated = self.scarce
+            || mean
+                > if self.delegated { DELEGATION_UTILIZATION.0 } else { DELEGATION_UTILIZATION.1 };
     }
 
-    /// Who collects its parts; `None` if this instance asks itself.
-    fn asker(&self, now: Instant, peers: &Peers) -> Option<&Peer> {
-        let heard = |peer: &&Option<Peer>| {
+    /// Returns the peer that aggregates the group's parts; `None` if this instance calls the
+    /// servers itself.
+    fn aggregator(&self, now: Instant, peers: &Peers) -> Option<&Peer> {
+        let is_usable = |peer: &&Option<Peer>| {
             peer.as_ref().is_none_or(|peer| !peers.is_silent(&peer.name, now))
         };
-        self.askers.iter().find(heard)?.as_ref()
+        self.aggregators.iter().find(is_usable)?.as_ref()
     }
 }
 
-/// The parts whose servers stand in the same zones.
+/// The groups of all parts whose servers are in the same set of zones.
 #[derive(Debug)]
-struct Block {
+struct ZoneGroups {
     groups: Vec<Group>,
-    /// One of the zones is this instance's.
-    here: bool,
-    /// Some peer stands in one of the zones.
-    there: bool,
+    /// Whether this instance's zone is one of the zones.
+    includes_own_zone: bool,
+    /// Whether some peer is in one of the zones.
+    has_peer: bool,
 }
 
-impl Block {
-    /// Who collects the parts; `turn` lets peers take turns.
+impl ZoneGroups {
+    /// Appends the peers that aggregate parts of these groups; `rotation` alternates between
+    /// peers.
     ///
-    /// Where the servers have much to do or few connections, each group goes to its own asker.
-    /// Elsewhere few messages are worth more than one view of each server: what has a server in this zone is asked for from
-    /// here, and the rest goes to one peer together.
-    fn collectors(&self, now: Instant, turn: usize, peers: &Peers, out: &mut Vec<Collector>) {
-        let idle: Vec<&Group> = self.groups.iter().filter(|group| !group.steady).collect();
-        let parts: usize = idle.iter().map(|group| group.services.len()).sum();
-        let is_far = !self.here && self.there && parts >= PARTS;
-        let shared = is_far.then(|| idle[turn % idle.len()].asker(now, peers)).flatten();
+    /// If a group's servers are busy or have few connections, the group goes to its own
+    /// aggregator. Otherwise fewer messages matter more than a single view of each server: this
+    /// instance calls the servers itself if the set of zones includes its own, and sends the parts
+    /// of all other such groups to one peer together.
+    fn assign(
+        &self,
+        now: Instant,
+        rotation: usize,
+        peers: &Peers,
+        out: &mut Vec<PartialAggregator>,
+    ) {
+        let undelegated: Vec<&Group> =
+            self.groups.iter().filter(|group| !group.delegated).collect();
+        let parts: usize = undelegated.iter().map(|group| group.services.len()).sum();
+        let is_far = !self.includes_own_zone && self.has_peer && parts >= MIN_DELEGATED_PARTS;
+        let shared_aggregator = is_far
+            .then(|| undelegated[rotation % undelegated.len()].aggregator(now, peers))
+            .flatten();
         out.extend(self.groups.iter().filter_map(|group| {
-            let peer = if group.steady { group.asker(now, peers) } else { shared };
-            Some(Collector { peer: peer?.clone(), services: Arc::clone(&group.services) })
+            let peer =
+                if group.delegated { group.aggregator(now, peers) } else { shared_aggregator };
+            Some(PartialAggregator { peer: peer?.clone(), services: Arc::clone(&group.services) })
         }));
     }
 }
 
-/// What is known of one index.
+/// The groups of one index.
 #[derive(Debug)]
-struct Known {
-    /// Keeps the address alive by which it is known.
+struct IndexGroups {
+    /// Keeps the index alive, since its address is the key in `by_index`.
     _index: Arc<Index>,
-    blocks: Vec<Block>,
+    zone_groups: Vec<ZoneGroups>,
 }
 
-/// Remembers who collects what; valid for one view.
+/// Assigns parts of sweeps to partial aggregators; the groups are valid for one view.
 #[derive(Debug, Default)]
-pub(crate) struct Near {
-    /// By the address of the index: routes of one version may have equal names.
-    known: Map<usize, Known>,
-    /// Counts the sweeps, so that peers take turns.
-    turn: usize,
-    /// Work that services' servers held of late over their slots.
-    busy: Map<Arc<str>, f64>,
-    /// Zones of the other instances.
+pub(crate) struct AggregatorSelector {
+    /// Groups by the address of the index: routes of one version may have equal names.
+    by_index: Map<usize, IndexGroups>,
+    /// Number of sweeps, so that peers are used in turn.
+    rotation: usize,
+    /// Moving average of the utilization (requests in progress divided by slots) of each service's
+    /// servers.
+    utilization: Map<Arc<str>, f64>,
+    /// Zones of the other instances by name.
     zones: Map<Arc<str>, Arc<str>>,
 }
 
-/// This instance, as the one that chooses.
+/// This instance as a candidate for aggregation.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Own<'a> {
-    /// Its name.
+pub(crate) struct LocalInstance<'a> {
+    /// Name of this instance.
     pub(crate) name: &'a str,
-    /// Its availability zone.
+    /// Availability zone of this instance.
     pub(crate) zone: &'a str,
-    /// Thousandths of a processor core that it may use.
+    /// Processor capacity available to this instance, in thousandths of a core.
     pub(crate) millicores: u32,
 }
 
-impl Near {
-    /// Forgets what another view has changed.
-    pub(crate) fn forget(&mut self, view: &View) {
-        self.known.clear();
-        let zone = |one: &Neighbour| (Arc::clone(&one.peer.name), Arc::clone(&one.zone));
+impl AggregatorSelector {
+    /// Discards the groups of the previous view, adopts the zones of the new view's instances, and
+    /// drops the utilization of services that are gone.
+    pub(crate) fn reset_for_view(&mut self, view: &View) {
+        self.by_index.clear();
+        let zone =
+            |neighbour: &Neighbour| (Arc::clone(&neighbour.peer.name), Arc::clone(&neighbour.zone));
         self.zones = view.neighbours.iter().map(zone).collect();
-        self.busy.retain(|service, _| view.service(service).is_some());
+        self.utilization.retain(|service, _| view.service(service).is_some());
     }
 
-    /// Zone of another instance.
+    /// Returns the zone of another instance.
     pub(crate) fn zone(&self, name: &str) -> Option<&Arc<str>> {
         self.zones.get(name)
     }
 
-    /// Takes in how much work the servers of a service held.
-    pub(crate) fn heard_of(&mut self, service: &Arc<str>, permille: u32) {
-        let busy = f64::from(permille) / 1000.0;
-        match self.busy.get_mut(service) {
-            Some(known) => *known += BUSY_WEIGHT * (busy - *known),
-            None => drop(self.busy.insert(Arc::clone(service), busy)),
+    /// Adds a reported utilization, in thousandths, to the moving average of a service.
+    pub(crate) fn record_utilization(&mut self, service: &Arc<str>, permille: u32) {
+        let utilization = f64::from(permille) / 1000.0;
+        match self.utilization.get_mut(service) {
+            Some(known) => *known += UTILIZATION_SMOOTHING * (utilization - *known),
+            None => drop(self.utilization.insert(Arc::clone(service), utilization)),
         }
     }
 
-    /// Who collects which services of a sweep over `index`. What is named by none, the instance
-    /// asks itself.
-    pub(crate) fn collectors(
+    /// Selects the peers that aggregate parts of a sweep over `index`, with their services. This
+    /// instance calls the servers of all other services itself.
+    pub(crate) fn assign(
         &mut self,
         now: Instant,
         view: &View,
-        own: Own<'_>,
+        own: LocalInstance<'_>,
         index: &Arc<Index>,
         peers: &Peers,
-    ) -> Vec<Collector> {
-        self.turn = self.turn.wrapping_add(1);
-        let (turn, busy) = (self.turn, &self.busy);
-        let known = known(&mut self.known, view, own, index);
-        let mut collectors = Vec::new();
-        for block in &mut known.blocks {
-            block.groups.iter_mut().for_each(|group| group.decide(now, busy));
-            block.collectors(now, turn, peers, &mut collectors);
+    ) -> Vec<PartialAggregator> {
+        self.rotation = self.rotation.wrapping_add(1);
+        let (rotation, utilization) = (self.rotation, &self.utilization);
+        let index_groups = index_groups(&mut self.by_index, view, own, index);
+        let mut aggregators = Vec::new();
+        for in_zones in &mut index_groups.zone_groups {
+            in_zones.groups.iter_mut().for_each(|group| group.update_delegated(now, utilization));
+            in_zones.assign(now, rotation, peers, &mut aggregators);
         }
-        collectors
+        aggregators
     }
 
-    /// The peer that asks for a service next, where few are to ask for all; `passed` says who can't.
-    /// `None`: that is this instance, or everyone asks for itself.
+    /// Selects the next partial aggregator of a service whose servers have too few connections for
+    /// every instance; `is_skipped` names the instances that cannot be used. `None` means that
+    /// this instance calls the servers itself, or that every instance does.
     pub(crate) fn next(
         &mut self,
         view: &View,
-        own: Own<'_>,
+        own: LocalInstance<'_>,
         index: &Arc<Index>,
         service: &Arc<str>,
-        passed: impl Fn(&str) -> bool,
+        is_skipped: impl Fn(&str) -> bool,
     ) -> Option<&Peer> {
-        let known = known(&mut self.known, view, own, index);
-        let mut groups = known.blocks.iter().flat_map(|block| &block.groups);
+        let index_groups = index_groups(&mut self.by_index, view, own, index);
+        let mut groups = index_groups.zone_groups.iter().flat_map(|in_zones| &in_zones.groups);
         let group = groups.find(|group| group.scarce && group.services.contains(service))?;
-        let usable =
-            |asker: &&Option<Peer>| !passed(asker.as_ref().map_or(own.name, |peer| &*peer.name));
-        group.askers.iter().find(usable)?.as_ref()
+        let is_usable = |aggregator: &&Option<Peer>| {
+            !is_skipped(aggregator.as_ref().map_or(own.name, |peer| &*peer.name))
+        };
+        group.aggregators.iter().find(is_usable)?.as_ref()
     }
 }
 
-/// Blocks and groups of an index, made when it is first asked about in a view.
-fn known<'a>(
-    all: &'a mut Map<usize, Known>,
+/// Returns the groups of an index, which are built at the first use of the index in a view.
+fn index_groups<'a>(
+    by_index: &'a mut Map<usize, IndexGroups>,
     view: &View,
-    own: Own<'_>,
+    own: LocalInstance<'_>,
     index: &Arc<Index>,
-) -> &'a mut Known {
-    all.entry(Arc::as_ptr(index).addr())
-        .or_insert_with(|| Known { _index: Arc::clone(index), blocks: blocks(view, own, index) })
+) -> &'a mut IndexGroups {
+    by_index.entry(Arc::as_ptr(index).addr()).or_insert_with(|| IndexGroups {
+        _index: Arc::clone(index),
+        zone_groups: build_zone_groups(view, own, index),
+    })
 }
 
-/// An instance that may collect.
+/// An instance that may aggregate parts.
 #[derive(Clone, Copy, Debug)]
-struct Asker<'a> {
+struct Candidate<'a> {
     name: &'a str,
     zone: &'a str,
     millicores: u32,
-    /// `None` for this instance.
+    /// The instance as a peer; `None` for this instance.
     peer: Option<&'a Peer>,
 }
 
-/// The parts of an index in blocks and groups.
-fn blocks(view: &View, own: Own<'_>, index: &Index) -> Vec<Block> {
-    let Own { name, zone, millicores } = own;
-    let mut askers = vec![Asker { name, zone, millicores, peer: None }];
-    askers.extend(view.neighbours.iter().map(|neighbour| Asker {
+/// Divides the parts of an index by the zones of their servers and into groups.
+fn build_zone_groups(view: &View, own: LocalInstance<'_>, index: &Index) -> Vec<ZoneGroups> {
+    let LocalInstance { name, zone, millicores } = own;
+    let mut candidates = vec![Candidate { name, zone, millicores, peer: None }];
+    candidates.extend(view.neighbours.iter().map(|neighbour| Candidate {
         name: &neighbour.peer.name,
         zone: &neighbour.zone,
         millicores: neighbour.millicores,
         peer: Some(&neighbour.peer),
     }));
     let is_scarce = |name: &Arc<str>| view.service(name).is_some_and(|known| known.scarce);
-    let mut taken: Map<&str, usize> = Map::default();
+    let mut assigned_groups: Map<&str, usize> = Map::default();
     let mut group = |zones: &[&str], services: &[Arc<str>]| {
-        let order = order(&askers, zones, &services[0], &taken);
-        if let Some(first) = order.first() {
-            *taken.entry(first.name).or_default() += 1;
+        let ranked = rank_candidates(&candidates, zones, &services[0], &assigned_groups);
+        if let Some(first) = ranked.first() {
+            *assigned_groups.entry(first.name).or_default() += 1;
         }
         Group {
             services: Arc::new(services.iter().cloned().collect()),
-            askers: order.iter().map(|asker| asker.peer.cloned()).collect(),
-            steady: false,
+            aggregators: ranked.iter().map(|candidate| candidate.peer.cloned()).collect(),
+            delegated: false,
             scarce: services.iter().any(is_scarce),
-            look_at: Instant::default(),
+            next_decision_at: Instant::default(),
         }
     };
-    let sets = by_zones(view, index).into_iter();
-    let block = |(zones, services): (Vec<&str>, Vec<Arc<str>>)| {
+    let services_by_zone_set = services_by_zones(view, index).into_iter();
+    let in_zones = |(zones, services): (Vec<&str>, Vec<Arc<str>>)| {
         let size = group_size(index.shards.len(), services.len());
         let groups = services.chunks(size).map(|services| group(&zones, services)).collect();
-        let there = view.neighbours.iter().any(|neighbour| zones.contains(&&*neighbour.zone));
-        Block { groups, here: zones.contains(&own.zone), there }
+        let has_peer = view.neighbours.iter().any(|neighbour| zones.contains(&&*neighbour.zone));
+        ZoneGroups { groups, includes_own_zone: zones.contains(&own.zone), has_peer }
     };
-    sets.map(block).collect()
+    services_by_zone_set.map(in_zones).collect()
 }
 
-/// Services of an index by the zones of their servers, in order of name.
-fn by_zones<'a>(view: &'a View, index: &Index) -> BTreeMap<Vec<&'a str>, Vec<Arc<str>>> {
-    let mut sets: BTreeMap<Vec<&str>, Vec<Arc<str>>> = BTreeMap::new();
+/// Returns the services of an index by the zones of their servers, sorted by name.
+fn services_by_zones<'a>(view: &'a View, index: &Index) -> BTreeMap<Vec<&'a str>, Vec<Arc<str>>> {
+    let mut services_by_zone_set: BTreeMap<Vec<&str>, Vec<Arc<str>>> = BTreeMap::new();
     let services = index.shards.iter().filter_map(|shard| view.service(&shard.service));
     for service in services {
-        let usable = service.servers.iter().filter(|server| server.takes_work());
-        let mut zones: Vec<&str> = usable.map(|server| &*server.zone).collect();
+        let servers = service.servers.iter().filter(|server| server.takes_work());
+        let mut zones: Vec<&str> = servers.map(|server| &*server.zone).collect();
         zones.sort_unstable();
         zones.dedup();
-        sets.entry(zones).or_default().push(Arc::clone(&service.name));
+        services_by_zone_set.entry(zones).or_default().push(Arc::clone(&service.name));
     }
-    for services in sets.values_mut() {
+    for services in services_by_zone_set.values_mut() {
         services.sort_unstable();
         services.dedup();
     }
-    sets
+    services_by_zone_set
 }
 
-/// Parts that go into one group: about as many as there are groups, so that neither the messages of
-/// a sweep nor the parts of one message grow with the number of parts alone.
-fn group_size(all: usize, same_zones: usize) -> usize {
-    let size = (all as f64).sqrt().ceil().max(1.0) as usize;
-    same_zones.div_ceil(same_zones.div_ceil(size).max(1)).max(1)
+/// Returns the number of parts in one group: about the square root of the number of parts of the
+/// index, so that neither the number of messages of a sweep nor the number of parts in one message
+/// grows in proportion to the number of parts.
+fn group_size(part_count: usize, parts_in_zones: usize) -> usize {
+    let size = (part_count as f64).sqrt().ceil().max(1.0) as usize;
+    parts_in_zones.div_ceil(parts_in_zones.div_ceil(size).max(1)).max(1)
 }
 
-/// Instances in some of these zones, or all if there is none: those first that would have the fewest
-/// groups for their processors with this one, then by rendezvous.
+/// Sorts the instances in one of `zones`, or all instances if there is none: by the number of
+/// groups per processor capacity that an instance would have with this group, then by rendezvous
+/// hash.
 ///
-/// An asker sends and reads a call for each part of its group. On an eighth of a core that takes as long
-/// as the servers' work: answers lie unread, and servers that had answered get second copies.
-fn order<'a>(
-    askers: &[Asker<'a>],
+/// A partial aggregator sends and reads a call for each part of its group. On an eighth of a core
+/// that takes as long as the servers' own work: replies remain unread, and servers that have
+/// already replied receive hedged calls.
+fn rank_candidates<'a>(
+    candidates: &[Candidate<'a>],
     zones: &[&str],
     group: &str,
-    taken: &Map<&str, usize>,
-) -> Vec<Asker<'a>> {
-    let near = |asker: &&Asker<'_>| zones.contains(&asker.zone);
-    let mut order: Vec<Asker<'_>> = askers.iter().filter(near).copied().collect();
-    if order.is_empty() {
-        order = askers.to_vec();
+    assigned_groups: &Map<&str, usize>,
+) -> Vec<Candidate<'a>> {
+    let is_in_zones = |candidate: &&Candidate<'_>| zones.contains(&candidate.zone);
+    let mut ranked: Vec<Candidate<'_>> = candidates.iter().filter(is_in_zones).copied().collect();
+    if ranked.is_empty() {
+        ranked = candidates.to_vec();
     }
-    let load = |asker: &Asker<'_>| {
-        let groups = taken.get(asker.name).copied().unwrap_or(0) as u64 + 1;
-        let millicores = if asker.millicores == 0 { ONE_CORE } else { asker.millicores };
+    let load = |candidate: &Candidate<'_>| {
+        let groups = assigned_groups.get(candidate.name).copied().unwrap_or(0) as u64 + 1;
+        let millicores =
+            if candidate.millicores == 0 { DEFAULT_MILLICORES } else { candidate.millicores };
         groups * LOAD_SCALE / u64::from(millicores)
     };
-    let score = |asker: &Asker<'_>| hash::of(&[group.as_bytes(), asker.name.as_bytes()]);
-    order.sort_by_cached_key(|asker| (load(asker), Reverse(score(asker))));
-    order
+    let score =
+        |candidate: &Candidate<'_>| hash::of(&[group.as_bytes(), candidate.name.as_bytes()]);
+    ranked.sort_by_cached_key(|candidate| (load(candidate), Reverse(score(candidate))));
+    ranked
 }
--- a/crates/core/src/gather/peers.rs
+++ b/crates/core/src/gather/peers.rs
@@ -1,75 +1,79 @@
-//! What this instance learned of the peers it sends work to.
+//! State of the peers that this instance sends work to.
 //!
-//! A peer with open work from which nothing arrives is held silent long before the membership can
-//! tell that it died. The limit is learned from its own reply times.
+//! A peer that has open work and sends nothing is marked silent long before the membership can
+//! detect that it died. The time limit is derived from the peer's own reply times.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::quantile::Quantile;
+use super::quantile::QuantileEstimator;
 use crate::collections::Map;
 use crate::time::Instant;
 use crate::view::Peer;
 
 new_key_type! {
-    /// A peer that work was sent to.
+    /// Key of a peer that work was sent to.
     pub(crate) struct PeerKey;
 }
 
-/// Silence below this is never held against a peer: a scheduler on a busy machine takes as long.
-const LEAST_SILENCE: Duration = Duration::from_millis(30);
-/// How many times its 99th percentile reply time a peer may stay silent.
-const SILENCE_FACTOR: u32 = 4;
-/// Taken for the 99th percentile before enough replies were seen.
-const ASSUMED_P99: Duration = Duration::from_millis(50);
-/// How long a silent peer gets no work but probes; by then the membership has decided.
-const SILENT_FOR: Duration = Duration::from_secs(2);
-/// Between probes of a silent peer.
-const PROBE_EVERY: Duration = Duration::from_millis(250);
-
-/// What is known of one peer.
+/// Shortest silence after which a peer may be marked silent: scheduling on a busy machine can
+/// delay a reply for as long.
+const MIN_SILENCE_LIMIT: Duration = Duration::from_millis(30);
+/// Factor of a peer's 99th percentile reply time that gives its silence limit.
+const SILENCE_LIMIT_P99_FACTOR: u32 = 4;
+/// Assumed 99th percentile of a peer's reply time until enough replies have arrived.
+const DEFAULT_P99: Duration = Duration::from_millis(50);
+/// Time for which a peer that was marked silent receives no work except probes; by then the
+/// membership has decided whether the peer is alive.
+const SILENT_DURATION: Duration = Duration::from_secs(2);
+/// Interval between probes of a silent peer.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+
+/// State of one peer.
 #[derive(Debug)]
-pub(crate) struct State {
-    /// The peer.
+pub(crate) struct PeerState {
+    /// Name and address of the peer.
     pub(crate) peer: Peer,
-    /// It is this very instance. Its leaf lives and dies with this machine: silence of it is that
-    /// of its servers, and says nothing of this instance's links either.
-    pub(crate) local: bool,
-    /// Sendings of portions that are open there and relied on.
-    open: u32,
-    /// Since when it owes something; `None` exactly when `open` is zero.
-    waiting: Option<Instant>,
-    /// It gets no work but probes until then.
+    /// Whether the peer is this instance itself. Its leaf machine runs in the same process:
+    /// silence is caused by the servers, and indicates nothing about this instance's links.
+    pub(crate) is_local: bool,
+    /// Number of portions sent to the peer that have no reply yet and are still relied on.
+    open_portions: u32,
+    /// Since when a message from the peer has been due; `None` exactly when `open_portions` is
+    /// zero.
+    waiting_since: Option<Instant>,
+    /// Until when the peer receives no work except probes.
     silent_until: Option<Instant>,
-    /// When it may be probed next.
-    probe_at: Instant,
-    /// Its timer in the machine's set, if one is there.
+    /// When the peer may be probed next.
+    next_probe_at: Instant,
+    /// Due time of the peer's timer in the machine's timer set, if one is set.
     pub(crate) timer: Option<Instant>,
-    times: Quantile,
-    /// Mean time on the ways there and back, queues included; `None` until something was collected.
-    pub(crate) way: Option<Duration>,
+    reply_times: QuantileEstimator,
+    /// Mean round-trip time to the peer including queues; `None` until the peer has aggregated
+    /// parts.
+    pub(crate) round_trip: Option<Duration>,
 }
 
-impl State {
-    /// Silence that is held against it.
-    pub(crate) fn limit(&self) -> Duration {
-        let p99 = self.times.p99().unwrap_or(ASSUMED_P99);
-        LEAST_SILENCE.max(p99 * SILENCE_FACTOR)
+impl PeerState {
+    /// Returns the duration of silence after which the peer is marked silent.
+    pub(crate) fn silence_limit(&self) -> Duration {
+        let p99 = self.reply_times.p99().unwrap_or(DEFAULT_P99);
+        MIN_SILENCE_LIMIT.max(p99 * SILENCE_LIMIT_P99_FACTOR)
     }
 
-    /// When its silence becomes too long; `None` while it owes nothing.
+    /// Returns when the peer's silence exceeds its limit; `None` while no reply is due.
     pub(crate) fn overdue_at(&self) -> Option<Instant> {
-        Some(self.waiting? + self.limit())
+        Some(self.waiting_since? + self.silence_limit())
     }
 
-    /// It has been waited for longer than half its limit.
-    fn is_doubtful(&self, now: Instant) -> bool {
-        self.waiting.is_some_and(|since| now.since(since) >= self.limit() / 2)
+    /// Returns whether the peer has been silent for at least half its limit.
+    fn is_half_overdue(&self, now: Instant) -> bool {
+        self.waiting_since.is_some_and(|since| now.since(since) >= self.silence_limit() / 2)
     }
 
-    /// It gets no work but probes.
+    /// Returns whether the peer is marked silent and receives no work except probes.
     pub(crate) fn is_silent(&self, now: Instant) -> bool {
         self.silent_until.is_some_and(|until| now < until)
     }
@@ -79,160 +83,168 @@
 #[derive(Debug)]
 pub(crate) struct Peers {
     /// Name of this instance.
-    own: Arc<str>,
-    states: SlotMap<PeerKey, State>,
-    /// Invariant: holds exactly the keys of `states`.
+    own_name: Arc<str>,
+    states: SlotMap<PeerKey, PeerState>,
+    /// Keys of the peers by name.
+    ///
+    /// Invariant: contains exactly the keys of `states`.
     keys: Map<Arc<str>, PeerKey>,
 }
 
 impl Peers {
-    /// No peers yet; `own` is the name of this instance.
-    pub(crate) fn new(own: Arc<str>) -> Self {
-        Self { own, states: SlotMap::default(), keys: Map::default() }
+    /// Creates an empty set of peers for the instance named `own_name`.
+    pub(crate) fn new(own_name: Arc<str>) -> Self {
+        Self { own_name, states: SlotMap::default(), keys: Map::default() }
     }
 
-    /// The key of a peer, new if need be.
+    /// Returns the key of a peer and updates its address; adds the peer if it is new.
     pub(crate) fn key(&mut self, peer: &Peer) -> PeerKey {
         if let Some(&key) = self.keys.get(&peer.name) {
             self.states[key].peer = peer.clone();
             return key;
         }
-        let key = self.states.insert(State {
+        let key = self.states.insert(PeerState {
             peer: peer.clone(),
-            local: peer.name == self.own,
-            open: 0,
-            waiting: None,
+            is_local: peer.name == self.own_name,
+            open_portions: 0,
+            waiting_since: None,
             silent_until: None,
-            probe_at: Instant::default(),
+            next_probe_at: Instant::default(),
             timer: None,
-            times: Quantile::default(),
-            way: None,
+            reply_times: QuantileEstimator::default(),
+            round_trip: None,
         });
         self.keys.insert(Arc::clone(&peer.name), key);
         key
     }
 
-    /// The key of the peer of this name.
+    /// Returns the key of the peer with this name.
     pub(crate) fn find(&self, name: &str) -> Option<PeerKey> {
         self.keys.get(name).copied()
     }
 
-    /// What is known of a peer.
-    pub(crate) fn get(&self, key: PeerKey) -> Option<&State> {
+    /// Returns the state of a peer.
+    pub(crate) fn get(&self, key: PeerKey) -> Option<&PeerState> {
         self.states.get(key)
     }
 
-    /// As [`Peers::get`], to change it.
-    pub(crate) fn get_mut(&mut self, key: PeerKey) -> Option<&mut State> {
+    /// Returns the mutable state of a peer.
+    pub(crate) fn get_mut(&mut self, key: PeerKey) -> Option<&mut PeerState> {
         self.states.get_mut(key)
     }
 
-    /// Portions were sent to it.
-    pub(crate) fn sent(&mut self, key: PeerKey, now: Instant, portions: u32) {
+    /// Records that portions were sent to a peer.
+    pub(crate) fn record_sent(&mut self, key: PeerKey, now: Instant, portions: u32) {
         let state = &mut self.states[key];
-        state.open += portions;
-        state.waiting.get_or_insert(now);
+        state.open_portions += portions;
+        state.waiting_since.get_or_insert(now);
     }
 
-    /// A portion there is answered or no longer relied on.
-    pub(crate) fn ended(&mut self, key: PeerKey) {
+    /// Records that a portion at a peer was answered or is no longer relied on.
+    pub(crate) fn record_closed(&mut self, key: PeerKey) {
         let Some(state) = self.states.get_mut(key) else {
             return;
         };
-        state.open = state.open.saturating_sub(1);
-        if state.open == 0 {
-            state.waiting = None;
+        state.open_portions = state.open_portions.saturating_sub(1);
+        if state.open_portions == 0 {
+            state.waiting_since = None;
         }
     }
 
-    /// Anything arrived from it: it is not silent.
-    pub(crate) fn heard(&mut self, key: PeerKey, now: Instant) {
+    /// Records that a message arrived from a peer: it is not silent, and its silence clock
+    /// restarts.
+    pub(crate) fn record_message(&mut self, key: PeerKey, now: Instant) {
         let state = &mut self.states[key];
         state.silent_until = None;
-        if state.open > 0 {
-            state.waiting = Some(now);
+        if state.open_portions > 0 {
+            state.waiting_since = Some(now);
         }
     }
 
-    /// It took `time` to reply.
-    pub(crate) fn learn(&mut self, key: PeerKey, time: Duration) {
-        self.states[key].times.add(time);
+    /// Records the time that a peer took to reply.
+    pub(crate) fn record_reply_time(&mut self, key: PeerKey, time: Duration) {
+        self.states[key].reply_times.add(time);
     }
 
-    /// The ways there and back took `time` together.
-    pub(crate) fn learn_way(&mut self, key: PeerKey, time: Duration) {
-        let way = &mut self.states[key].way;
-        *way = Some(way.map_or(time, |mean| (mean * 7 + time) / 8));
+    /// Adds a round-trip time to a peer's moving average, with a weight of one eighth.
+    pub(crate) fn record_round_trip(&mut self, key: PeerKey, time: Duration) {
+        let round_trip = &mut self.states[key].round_trip;
+        *round_trip = Some(round_trip.map_or(time, |mean| (mean * 7 + time) / 8));
     }
 
-    /// It gets no work but probes for a while.
-    pub(crate) fn silence(&mut self, key: PeerKey, now: Instant) {
+    /// Marks a peer silent: it receives no work except probes for `SILENT_DURATION`.
+    pub(crate) fn mark_silent(&mut self, key: PeerKey, now: Instant) {
         let state = &mut self.states[key];
-        state.silent_until = Some(now + SILENT_FOR);
-        state.probe_at = now + PROBE_EVERY;
+        state.silent_until = Some(now + SILENT_DURATION);
+        state.next_probe_at = now + PROBE_INTERVAL;
     }
 
-    /// Whether the peer of this name gets no work but probes.
+    /// Returns whether the peer with this name is marked silent.
     pub(crate) fn is_silent(&self, name: &str, now: Instant) -> bool {
         self.find(name).is_some_and(|key| self.states[key].is_silent(now))
     }
 
-    /// Whether any peer gets no work but probes.
+    /// Returns whether any peer is marked silent.
     pub(crate) fn any_silent(&self, now: Instant) -> bool {
         self.states.values().any(|state| state.is_silent(now))
     }
 
-    /// Whether a silent peer may be probed now; if so the next probe is put off.
+    /// Returns whether a silent peer may be probed now; if so, schedules the next probe.
     pub(crate) fn take_probe(&mut self, name: &str, now: Instant) -> bool {
         let Some(&key) = self.keys.get(name) else {
             return false;
         };
         let state = &mut self.states[key];
-        if !state.is_silent(now) || now < state.probe_at {
+        if !state.is_silent(now) || now < state.next_probe_at {
             return false;
         }
-        state.probe_at = now + PROBE_EVERY;
+        state.next_probe_at = now + PROBE_INTERVAL;
         true
     }
 
-    /// Whether the silence of many peers at once says that the fault lies here.
+    /// Returns whether so many peers are silent at once that a fault of this instance is the
+    /// likely cause.
     ///
-    /// The failure: this instance's own network or processor stalls, all peers seem silent, and
-    /// every open portion of every query is sent a second time just when the fleet is under strain.
-    /// It shows as more than half of the peers with open work in doubt together, two at least.
-    /// Failover waits then; the membership and broken links still trigger it.
-    pub(crate) fn is_flood(&self, now: Instant) -> bool {
-        let waiting = self.states.values().filter(|state| state.open > 0 && !state.local);
-        let (mut all, mut doubtful) = (0, 0);
-        for state in waiting {
-            all += 1;
-            doubtful += usize::from(state.is_doubtful(now));
+    /// This prevents the following failure: this instance's own network or processor stalls, all
+    /// peers appear silent, and every open portion of every query is sent a second time just when
+    /// the fleet is overloaded. The criterion is that at least two peers, and more than half of
+    /// the peers with open portions, have been silent for half their limit. Failover because of
+    /// silence then waits; the membership and broken links still trigger it.
+    pub(crate) fn is_local_fault_likely(&self, now: Instant) -> bool {
+        let expected =
+            self.states.values().filter(|state| state.open_portions > 0 && !state.is_local);
+        let (mut total, mut half_overdue) = (0, 0);
+        for state in expected {
+            total += 1;
+            half_overdue += usize::from(state.is_half_overdue(now));
         }
-        doubtful >= 2 && 2 * doubtful > all
+        half_overdue >= 2 && 2 * half_overdue > total
     }
 
-    /// Counts every silence from now on: time in which this process did not run proves nothing.
-    pub(crate) fn restart_clocks(&mut self, now: Instant) {
+    /// Restarts the silence clocks of all peers: a time in which this process did not run does not
+    /// count as silence.
+    pub(crate) fn restart_silence_clocks(&mut self, now: Instant) {
         for state in self.states.values_mut() {
-            if state.waiting.is_some() {
-                state.waiting = Some(now);
+            if state.waiting_since.is_some() {
+                state.waiting_since = Some(now);
             }
         }
     }
 
-    /// Counts a peer's silence from now on.
-    pub(crate) fn restart_clock(&mut self, key: PeerKey, now: Instant) {
+    /// Restarts the silence clock of a peer.
+    pub(crate) fn restart_silence_clock(&mut self, key: PeerKey, now: Instant) {
         if let Some(state) = self.states.get_mut(key)
-            && state.waiting.is_some()
+            && state.waiting_since.is_some()
         {
-            state.waiting = Some(now);
+            state.waiting_since = Some(now);
         }
     }
 
-    /// Forgets peers that owe nothing and for which `keep` is false.
+    /// Removes peers without open portions and timer for which `keep` returns false.
     pub(crate) fn prune(&mut self, keep: impl Fn(&str) -> bool) {
-        self.states
-            .retain(|_, state| state.open > 0 || state.timer.is_some() || keep(&state.peer.name));
+        self.states.retain(|_, state| {
+            state.open_portions > 0 || state.timer.is_some() || keep(&state.peer.name)
+        });
         let states = &self.states;
         self.keys.retain(|_, key| states.contains_key(*key));
     }
--- a/crates/core/src/gather/plan.rs
+++ b/crates/core/src/gather/plan.rs
@@ -1,4 +1,4 @@
-//! Plans a request: its snapshot, its portions and the terms it runs under.
+//! Plans a request: its index version, its portions and the terms under which it runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use crate::route::Route;
 use crate::view::View;
 
-/// What holds for a whole query, the strictest of its services' entries.
+/// Terms of a whole query: the strictest of the catalogue entries of its services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Terms {
-    /// At most one execution.
+    /// Whether the query is non-idempotent and must be executed at most once.
     pub(crate) unrepeatable: bool,
-    /// Use the whole deadline to be complete.
+    /// Whether the query may use its whole deadline in order to be complete.
     pub(crate) complete: bool,
-    /// The time the caller waits.
+    /// Time for which the caller waits.
     pub(crate) deadline: Duration,
 }
 
 impl Terms {
-    /// These terms with what the request says: it can only make them stricter, but chooses its
-    /// deadline.
-    fn asked_by(mut self, request: &call::Request) -> Self {
+    /// Combines the terms with those of the request. The request can only make them stricter,
+    /// except that it sets its own deadline.
+    fn tightened_by(mut self, request: &call::Request) -> Self {
         self.unrepeatable |= request.unrepeatable;
         if request.deadline_ms != 0 {
             self.deadline = Duration::from_millis(request.deadline_ms.into());
@@ -37,88 +37,97 @@
     }
 }
 
-/// The asked shards of one service.
+/// The requested shards of one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Share {
+pub(crate) struct ServiceShards {
     /// Name of the service.
     pub(crate) service: Arc<str>,
-    /// Positions in the pinned version's shard map, ascending.
+    /// Positions of the shards in the pinned version's shard map, ascending.
     pub(crate) shards: Vec<u32>,
 }
 
-/// How a request is to be run.
+/// The plan of a request: which shards to request from which services, and under which terms.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// The pinned version.
+    /// The pinned index version.
     pub(crate) index: Arc<Index>,
-    /// One share per service, in order of the services' names.
-    pub(crate) shares: Arc<[Arc<Share>]>,
-    /// Asked shards that cannot be had.
+    /// Requested shards of each service, sorted by the services' names.
+    pub(crate) service_shards: Arc<[Arc<ServiceShards>]>,
+    /// Requested shards that are unavailable.
     pub(crate) missing: Vec<call::Missing>,
-    /// The terms.
+    /// Terms of the query.
     pub(crate) terms: Terms,
-    /// The route of a forwarded message.
+    /// Route of a forwarded message; `None` for other requests.
     pub(crate) route: Option<Arc<Route>>,
 }
 
-/// Plans requests and keeps the plans of whole indexes while the view stays.
+/// Plans requests, and caches the plans of requests for a whole index until the view changes.
 #[derive(Debug, Default)]
 pub(crate) struct Planner {
-    /// Plans by index and operation, for requests that name no shards and no deadline and leave
-    /// the operation as repeatable as it is.
+    /// Cached plans by index and operation, for requests that name no shards, set no deadline and
+    /// do not mark the operation as non-idempotent.
     plans: Map<(String, String), Plan>,
 }
 
 impl Planner {
-    /// The first plan of a checked request.
-    pub(crate) fn first(&mut self, view: &View, request: &call::Request) -> Result<Plan, Refusal> {
+    /// Plans a checked request that has not abandoned any version.
+    pub(crate) fn first_plan(
+        &mut self,
+        view: &View,
+        request: &call::Request,
+    ) -> Result<Plan, Refusal> {
         if !request.shards.is_empty() {
-            return plan(view, request, &[]);
+            return plan_request(view, request, &[]);
         }
         let key = (request.index.clone(), request.operation.clone());
-        let mut planned = match self.plans.get(&key) {
+        let mut plan = match self.plans.get(&key) {
             Some(known) => known.clone(),
             None => {
-                let plain = call::Request {
+                let default_request = call::Request {
                     index: request.index.clone(),
                     operation: request.operation.clone(),
                     ..call::Request::default()
                 };
-                let fresh = plan(view, &plain, &[])?;
-                self.plans.insert(key, fresh.clone());
-                fresh
+                let new_plan = plan_request(view, &default_request, &[])?;
+                self.plans.insert(key, new_plan.clone());
+                new_plan
             }
         };
-        planned.terms = planned.terms.asked_by(request);
-        Ok(planned)
+        plan.terms = plan.terms.tightened_by(request);
+        Ok(plan)
     }
 
-    /// Forgets all plans; a new view is in force.
-    pub(crate) fn forget(&mut self) {
+    /// Discards all cached plans, which belong to the previous view.
+    pub(crate) fn clear(&mut self) {
         self.plans.clear();
     }
 }
 
-/// Plans a checked request on the newest usable version that is not in `retired`.
-pub(crate) fn plan(view: &View, request: &call::Request, retired: &[u64]) -> Result<Plan, Refusal> {
+/// Plans a checked request on the newest usable index version that is not in `retired`.
+pub(crate) fn plan_request(
+    view: &View,
+    request: &call::Request,
+    retired: &[u64],
+) -> Result<Plan, Refusal> {
     let versions = view.indexes.get(request.index.as_str());
     let versions = versions.map_or(&[][..], Vec::as_slice);
     if versions.is_empty() {
         let detail = format!("index: {}; it is not published", request.index);
         return Err(Refusal::new(Reason::UnknownIndex, detail));
     }
-    known_shards(versions, &request.shards)?;
-    let Some(pin) = snapshot::pin(view, versions, &request.shards, retired) else {
+    check_known_shards(versions, &request.shards)?;
+    let Some(pin) = snapshot::pin_version(view, versions, &request.shards, retired) else {
         let detail = format!("index: {}; all its versions are retired", request.index);
         return Err(Refusal::new(Reason::VersionRetired, detail));
     };
-    let shares = shares(view, &pin);
-    let terms = terms(view, request, &shares)?;
-    Ok(Plan { index: pin.index, shares, missing: pin.missing, terms, route: None })
+    let service_shards = group_by_service(view, &pin);
+    let terms = query_terms(view, request, &service_shards)?;
+    Ok(Plan { index: pin.index, service_shards, missing: pin.missing, terms, route: None })
 }
 
-/// Refuses a shard that no published version has; one that only some have is reported as missing.
-fn known_shards(versions: &[Arc<Index>], asked: &[String]) -> Result<(), Refusal> {
+/// Refuses a request for a shard that no published version has. A shard that only some versions
+/// have is reported as missing instead.
+fn check_known_shards(versions: &[Arc<Index>], asked: &[String]) -> Result<(), Refusal> {
     if asked.is_empty() {
         return Ok(());
     }
@@ -133,27 +142,31 @@
     }
 }
 
-fn shares(view: &View, pin: &Pin) -> Arc<[Arc<Share>]> {
-    let mut places: Map<&str, usize> = Map::default();
-    let mut shares: Vec<Share> = Vec::new();
+fn group_by_service(view: &View, pin: &Pin) -> Arc<[Arc<ServiceShards>]> {
+    let mut index_by_name: Map<&str, usize> = Map::default();
+    let mut service_shards: Vec<ServiceShards> = Vec::new();
     for &position in &pin.held {
         let name = pin.index.shards[position as usize].service.as_str();
-        let place = *places.entry(name).or_insert_with(|| {
+        let index_in_list = *index_by_name.entry(name).or_insert_with(|| {
             let service =
                 view.service(name).map_or_else(|| name.into(), |service| Arc::clone(&service.name));
-            shares.push(Share { service, shards: Vec::new() });
-            shares.len() - 1
+            service_shards.push(ServiceShards { service, shards: Vec::new() });
+            service_shards.len() - 1
         });
-        shares[place].shards.push(position);
+        service_shards[index_in_list].shards.push(position);
     }
-    shares.sort_by(|a, b| a.service.cmp(&b.service));
-    shares.into_iter().map(Arc::new).collect()
+    service_shards.sort_by(|a, b| a.service.cmp(&b.service));
+    service_shards.into_iter().map(Arc::new).collect()
 }
 
-fn terms(view: &View, request: &call::Request, shares: &[Arc<Share>]) -> Result<Terms, Refusal> {
+fn query_terms(
+    view: &View,
+    request: &call::Request,
+    service_shards: &[Arc<ServiceShards>],
+) -> Result<Terms, Refusal> {
     let mut terms = Terms { unrepeatable: false, complete: false, deadline: Duration::ZERO };
     let mut default_ms = ladder_schema::bounds::DEADLINE_MS;
-    for service in shares.iter().filter_map(|share| view.service(&share.service)) {
+    for service in service_shards.iter().filter_map(|entry| view.service(&entry.service)) {
         let Some(operation) = service.operation(&request.operation) else {
             let detail = format!(
                 "operation: {}; the entry of service {} does not list it",
@@ -166,5 +179,5 @@
         default_ms = default_ms.min(operation.deadline_ms.max(1));
     }
     terms.deadline = Duration::from_millis(default_ms.into());
-    Ok(terms.asked_by(request))
+    Ok(terms.tightened_by(request))
 }
--- a/crates/core/src/gather/query.rs
+++ b/crates/core/src/gather/query.rs
@@ -1,4 +1,4 @@
-//! The state of one query.
+//! State of one query.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,260 +10,275 @@
 
 use super::event::Caller;
 use super::peers::PeerKey;
-use super::plan::{Plan, Share, Terms};
+use super::plan::{Plan, ServiceShards, Terms};
 use crate::eligible::Mark;
 use crate::fingerprint::Fingerprint;
 use crate::route::Route;
 use crate::time::{Instant, micros};
 
 new_key_type! {
-    /// An open query.
+    /// Key of an open query.
     pub(crate) struct QueryKey;
 }
 
-/// How far a sending of a portion has come.
+/// Progress of one sending of a portion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Progress {
-    /// The owner owes a reply.
+    /// The owner has not replied yet, and its reply is relied on.
     Open,
-    /// The owner is silent; the portion may have gone elsewhere too, but its reply is awaited.
+    /// The owner is silent. The portion may also have been sent elsewhere, but the owner's reply
+    /// is still awaited.
     Overdue,
-    /// The link broke: a reply is still taken, but none is awaited.
+    /// The link to the owner broke: a reply is still accepted, but not awaited.
     Lost,
-    /// A reply was taken.
-    Ended,
+    /// A reply was accepted.
+    Answered,
 }
 
-/// One sending of a portion.
+/// One sending of a portion to an instance.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sending {
-    /// Number of the work message in the query; the reply repeats it.
+    /// Number of the work message within the query; the reply repeats it.
     pub(crate) round: u32,
-    /// The owner.
+    /// The instance that the portion was sent to.
     pub(crate) peer: PeerKey,
-    /// When it was sent.
+    /// When the portion was sent.
     pub(crate) at: Instant,
-    /// How far it has come.
+    /// Progress of the sending.
     pub(crate) progress: Progress,
-    /// A peer is to collect it with others.
-    pub(crate) collected: bool,
-    /// That peer said that it still collects.
-    pub(crate) spoke: bool,
+    /// Whether the peer is to aggregate the portion with others.
+    pub(crate) is_aggregated: bool,
+    /// Whether the peer has reported that it is still aggregating.
+    pub(crate) has_reported: bool,
 }
 
 impl Sending {
-    /// A peer holds it with others and has not said that it still collects.
-    pub(crate) fn owes_word(&self) -> bool {
-        self.collected && self.progress == Progress::Open && !self.spoke
+    /// Returns whether a peer is aggregating the portion and has not yet reported that it still
+    /// does.
+    pub(crate) fn owes_report(&self) -> bool {
+        self.is_aggregated && self.progress == Progress::Open && !self.has_reported
     }
 }
 
-/// What became of a portion.
+/// Outcome of a portion.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum State {
+pub(crate) enum PortionState {
     /// A reply is awaited.
     Open,
-    /// Exactly one part for each of its shards, in their order, all from one reply.
+    /// The portion is covered: exactly one part for each of its shards, in their order, all from
+    /// one reply.
     Covered(Vec<call::Part>),
-    /// No reply is awaited.
+    /// The portion was refused or failed for this reason, and no reply is awaited.
     Refused(Reason),
 }
 
-/// The part of a query that one service answers.
+/// The sub-request of a query to one service.
 #[derive(Clone, Debug)]
 pub(crate) struct Portion {
-    /// The service and its shards.
-    pub(crate) share: Arc<Share>,
-    /// What became of it.
-    pub(crate) state: State,
-    /// All sendings, oldest first.
+    /// The service and its requested shards.
+    pub(crate) requested: Arc<ServiceShards>,
+    /// Outcome of the portion.
+    pub(crate) state: PortionState,
+    /// All sendings of the portion, oldest first.
     ///
-    /// Invariant: of an unrepeatable query all but the last ended with proof that they did not run.
+    /// Invariant: of a non-idempotent query, all sendings except the last were answered with proof
+    /// that they did not run.
     pub(crate) sendings: Vec<Sending>,
-    /// Servers that it may run on, of a sweep.
+    /// Servers on which the portion of a sweep may run.
     ///
-    /// Invariant: unchanged from the first sending that may have run.
+    /// Invariant: unchanged once a sending may have run.
     pub(crate) eligible: Vec<Mark>,
-    /// Servers that an asker could not use.
-    pub(crate) passed: Vec<Mark>,
-    /// Some sending ended without proof that it did not run.
-    pub(crate) exposed: bool,
-    /// An owner said that it ran without giving the parts.
+    /// Servers that an instance reported as unusable for this portion.
+    pub(crate) unusable: Vec<Mark>,
+    /// Whether some sending was answered without proof that it did not run.
+    pub(crate) may_have_run: bool,
+    /// Whether an owner replied that the portion ran, but did not return the parts.
     pub(crate) ran: bool,
-    /// A reply does not rule out that a server got it, whether it ran there or not.
-    pub(crate) reached: bool,
+    /// Whether some reply leaves it possible that a server received the portion, even if it did
+    /// not run there.
+    pub(crate) may_have_reached_server: bool,
 }
 
 impl Portion {
-    fn new(share: Arc<Share>) -> Self {
+    fn new(requested: Arc<ServiceShards>) -> Self {
         Self {
-            share,
-            state: State::Open,
+            requested,
+            state: PortionState::Open,
             sendings: Vec::new(),
             eligible: Vec::new(),
-            passed: Vec::new(),
-            exposed: false,
+            unusable: Vec::new(),
+            may_have_run: false,
             ran: false,
-            reached: false,
+            may_have_reached_server: false,
         }
     }
 
     pub(crate) fn is_open(&self) -> bool {
-        self.state == State::Open
+        self.state == PortionState::Open
     }
 
-    /// Some owner that is neither silent nor lost owes a reply.
-    pub(crate) fn is_relied_on(&self) -> bool {
+    /// Returns whether a reply is due from an owner that is neither silent nor lost.
+    pub(crate) fn has_reliable_sending(&self) -> bool {
         let mut sendings = self.sendings.iter();
         sendings.any(|sending| sending.progress == Progress::Open)
     }
 
-    /// Some sending may still bring a reply that is worth waiting for.
-    pub(crate) fn is_awaited(&self) -> bool {
+    /// Returns whether some sending may still produce a reply that is worth waiting for.
+    pub(crate) fn awaits_reply(&self) -> bool {
         self.sendings
             .iter()
             .any(|sending| matches!(sending.progress, Progress::Open | Progress::Overdue))
     }
 
-    /// Whether a sending before the one of this round may have reached a server.
+    /// Returns whether a sending other than that of `round` may have reached a server.
     pub(crate) fn is_repeated(&self, round: u32) -> bool {
         let mut before = self.sendings.iter().filter(|sending| sending.round != round);
-        self.reached || before.any(|sending| sending.progress != Progress::Ended)
+        self.may_have_reached_server || before.any(|sending| sending.progress != Progress::Answered)
     }
 
-    /// Whether the portion ran, as far as is proved.
+    /// Returns whether the portion ran, as far as that is proved.
     pub(crate) fn verdict(&self) -> Verdict {
-        if self.ran || matches!(self.state, State::Covered(_)) {
+        if self.ran || matches!(self.state, PortionState::Covered(_)) {
             return Verdict::Ran;
         }
-        let unsettled = |sending: &Sending| sending.progress != Progress::Ended;
-        if self.exposed || self.sendings.iter().any(unsettled) {
+        let is_unanswered = |sending: &Sending| sending.progress != Progress::Answered;
+        if self.may_have_run || self.sendings.iter().any(is_unanswered) {
             return Verdict::MayHaveRun;
         }
         Verdict::NotRun
     }
 }
 
-/// How a query is named.
+/// Identifiers of a query.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Name {
-    /// In messages to owners.
+pub(crate) struct QueryIds {
+    /// Number of the query in messages to owners.
     pub(crate) number: u64,
-    /// In the history.
-    pub(crate) account: u64,
-    /// By what is asked and by whom.
+    /// Identifier of the query's history.
+    pub(crate) history_id: u64,
+    /// Fingerprint of the request's content and user.
     pub(crate) fingerprint: Fingerprint,
 }
 
 /// An open query.
 #[derive(Debug)]
 pub(crate) struct Query {
-    /// Whom to answer.
+    /// The caller to answer.
     pub(crate) caller: Caller,
-    /// What was asked.
+    /// The caller's request.
     pub(crate) request: call::Request,
-    /// Number of the query in messages to owners; a restart on another version takes a new one.
+    /// Number of the query in messages to owners; a restart on another index version assigns a new
+    /// number.
     pub(crate) number: u64,
-    /// Number of its account.
-    pub(crate) account: u64,
-    /// What is asked and by whom.
+    /// Identifier of the query's history.
+    pub(crate) history_id: u64,
+    /// Fingerprint of the request's content and user.
     pub(crate) fingerprint: Fingerprint,
-    /// The pinned version. Every part is drawn from it.
+    /// The pinned index version, from which all parts of the answer are taken.
     pub(crate) index: Arc<Index>,
-    /// The terms.
+    /// Terms of the query.
     pub(crate) terms: Terms,
-    /// The route of a forwarded message.
+    /// Route of a forwarded message; `None` for other requests.
     pub(crate) route: Option<Arc<Route>>,
-    /// One portion per service, in order of the services' names.
+    /// One portion per service, sorted by the services' names.
     ///
-    /// Invariant: the shards of the portions and those of `missing` are the asked set, each once.
+    /// Invariant: the shards of the portions and those of `missing` together are the requested
+    /// shards, each once.
     pub(crate) portions: Vec<Portion>,
-    /// Asked shards that no portion covers.
+    /// Requested shards that are in no portion.
     pub(crate) missing: Vec<call::Missing>,
-    /// From then on it answers with nearly everything; `answer_at` unless it prefers time.
+    /// From this time on the query answers with nearly all shards; equal to `answer_at` if the
+    /// query prefers completeness.
     pub(crate) timely_at: Instant,
-    /// When it answers with what it has; before the caller's deadline.
+    /// When the query answers with the replies received so far; before the caller's deadline.
     pub(crate) answer_at: Instant,
     /// The caller's deadline.
     pub(crate) deadline: Instant,
-    /// Its timer in the machine's set.
+    /// Due time of the query's timer in the machine's timer set.
     pub(crate) timer: Instant,
-    /// Work messages sent under `number`.
+    /// Number of work messages sent under `number`.
     pub(crate) rounds: u32,
-    /// How often portions were sent again or twice, over all versions; portions that go out
-    /// together count once.
+    /// How often portions were sent again or hedged, over all index versions; portions that are
+    /// sent together count once.
     pub(crate) extra_calls: u32,
-    /// Portions that are open.
+    /// Number of open portions.
     ///
-    /// Invariant: the number of `portions` with `is_open`.
-    pub(crate) open: usize,
-    /// Asked shards.
-    pub(crate) asked: usize,
-    /// Shards of the portions that are open.
-    pub(crate) awaited: usize,
-    /// Shards covered.
-    pub(crate) covered: usize,
-    /// Longest time to come back that a refusal advised, in milliseconds.
+    /// Invariant: equals the number of `portions` with `is_open`.
+    pub(crate) open_portions: usize,
+    /// Number of requested shards.
+    pub(crate) requested_shards: usize,
+    /// Number of shards of the open portions.
+    pub(crate) open_shards: usize,
+    /// Number of covered shards.
+    pub(crate) covered_shards: usize,
+    /// Longest retry delay that a refusal advised, in milliseconds.
     pub(crate) retry_after_ms: u32,
-    /// Versions given up because a server no longer serves them.
-    pub(crate) retired: Vec<u64>,
-    /// Something of it may have run under a version that was given up.
-    pub(crate) exposed: bool,
-    /// It can only be refused: what is out is taken back.
+    /// Index versions that the query abandoned because a server no longer serves them.
+    pub(crate) retired_versions: Vec<u64>,
+    /// Whether some portion may have run under an index version that the query abandoned.
+    pub(crate) earlier_version_may_have_run: bool,
+    /// Whether the query can only be refused and its open portions have been cancelled.
     pub(crate) withdrawn: bool,
 }
 
-/// Time kept for the answer itself and for a late wake.
-const MARGIN: Duration = Duration::from_millis(2);
-/// A timely query may answer with nearly everything after this share of its deadline.
-const TIMELY_PERCENT: u64 = 60;
-/// Shards it may then leave out, in percent of the asked ones.
-const LATE_PERCENT: usize = 5;
+/// Time reserved for sending the answer and for a late wake-up.
+const ANSWER_MARGIN: Duration = Duration::from_millis(2);
+/// Percentage of the deadline after which a query that prefers timeliness may answer with nearly
+/// all shards.
+const TIMELY_DEADLINE_PERCENT: u64 = 60;
+/// Largest percentage of the requested shards that such an early answer may leave out.
+const MAX_MISSING_PERCENT: usize = 5;
 
-/// Least time kept for an answer's way to a caller, and its share of the time at hand, in percent.
+/// Minimum time reserved for the transfer of an answer to its caller, and the percentage of the
+/// available time that is reserved in addition.
 ///
-/// Nobody says how far away a caller is. Some milliseconds lie in every way through a balancer, and
-/// operators who grant more time mostly do so because callers are further away. With 5 ms, sweeps with
-/// a target of 50 ms and callers 3 ms away came 2 to 3 ms late; 9 ms raised what a loaded day is worth
-/// by 0.04 there and changed nothing for callers 1 ms away.
-const WAY_BACK: (Duration, u32) = (Duration::from_millis(9), 8);
+/// The distance of a caller is unknown. A load balancer adds some milliseconds to every transfer,
+/// and operators mostly grant more time because callers are further away. With 5 ms, sweeps with a
+/// target of 50 ms and callers 3 ms away were 2 to 3 ms late; 9 ms raised the value of the answers
+/// of a loaded test day by 0.04 for these callers and changed nothing for callers 1 ms away.
+const ANSWER_TRAVEL_TIME: (Duration, u32) = (Duration::from_millis(9), 8);
 
-/// Time kept for an answer's way to its caller out of the time that the caller has.
-fn way_back(span: Duration) -> Duration {
-    WAY_BACK.0 + span * WAY_BACK.1 / 100
+/// Returns the time reserved for the transfer of an answer to its caller, out of the caller's time
+/// `span`.
+fn answer_travel_time(span: Duration) -> Duration {
+    ANSWER_TRAVEL_TIME.0 + span * ANSWER_TRAVEL_TIME.1 / 100
 }
 
-/// When a forwarded sweep answers with its route's floor.
-fn timely(now: Instant, route: &Route, answer_at: Instant) -> Instant {
+/// Returns when a forwarded sweep answers if its route's floor is reached.
+fn sweep_timely_at(now: Instant, route: &Route, answer_at: Instant) -> Instant {
     if route.spec.target_ms == 0 {
         return answer_at;
     }
     let target = Duration::from_millis(route.spec.target_ms.into());
-    (now + (target - way_back(target).min(target / 2))).min(answer_at)
+    (now + (target - answer_travel_time(target).min(target / 2))).min(answer_at)
 }
 
 impl Query {
-    /// A query that has sent nothing yet.
+    /// Creates a query that has not sent anything yet.
     pub(crate) fn new(
         now: Instant,
         caller: Caller,
         request: call::Request,
-        name: Name,
+        ids: QueryIds,
         plan: Plan,
     ) -> Self {
         let terms = plan.terms;
         let deadline = now + terms.deadline;
-        let margin = plan.route.as_ref().map_or(MARGIN, |_| way_back(terms.deadline));
+        let margin =
+            plan.route.as_ref().map_or(ANSWER_MARGIN, |_| answer_travel_time(terms.deadline));
         let answer_at = deadline - margin.min(terms.deadline / 4);
-        let share = micros(terms.deadline) * TIMELY_PERCENT / 100;
-        let usual = now + Duration::from_micros(share);
-        let timely_at = plan.route.as_ref().map_or(usual, |route| timely(now, route, answer_at));
+        let timely_us = micros(terms.deadline) * TIMELY_DEADLINE_PERCENT / 100;
+        let default_timely_at = now + Duration::from_micros(timely_us);
+        let timely_at = plan
+            .route
+            .as_ref()
+            .map_or(default_timely_at, |route| sweep_timely_at(now, route, answer_at));
         let mut query = Self {
             caller,
             request,
-            number: name.number,
-            account: name.account,
-            fingerprint: name.fingerprint,
+            number: ids.number,
+            history_id: ids.history_id,
+            fingerprint: ids.fingerprint,
             index: Arc::clone(&plan.index),
             terms,
             route: plan.route.clone(),
@@ -275,47 +290,51 @@
             timer: answer_at,
             rounds: 0,
             extra_calls: 0,
-            open: 0,
-            asked: 0,
-            awaited: 0,
-            covered: 0,
+            open_portions: 0,
+            requested_shards: 0,
+            open_shards: 0,
+            covered_shards: 0,
             retry_after_ms: 0,
-            retired: Vec::new(),
-            exposed: false,
+            retired_versions: Vec::new(),
+            earlier_version_may_have_run: false,
             withdrawn: false,
         };
-        query.adopt(plan);
+        query.adopt_plan(plan);
         query.timer = query.timely_at;
         query
     }
 
-    /// It prefers to answer now with what it has.
+    /// Returns whether the query should answer now with the covered shards.
     ///
-    /// Until `timely_at` every query waits for all its shards, so that an answer is not needlessly
-    /// partial. From then on a query that prefers time answers once nearly all shards are settled: what is still out by then is a straggler that mostly misses the deadline too.
+    /// Until `timely_at`, every query waits for all its shards, so that no answer is partial
+    /// without need. From then on, a query that prefers timeliness answers once nearly all shards
+    /// are settled: the replies that are still open are stragglers, which mostly miss the deadline
+    /// too.
     ///
-    /// A sweep that is forwarded answers then with the floor of its route or more: a late answer is
-    /// worth a fraction of one that lacks a part.
-    pub(crate) fn is_enough(&self, now: Instant) -> bool {
+    /// From then on, a forwarded sweep answers once the floor of its route is covered: a late
+    /// answer has a fraction of the value of an answer that lacks a part.
+    pub(crate) fn has_enough(&self, now: Instant) -> bool {
         if let Some(route) = &self.route {
-            return now >= self.timely_at && self.covered >= route.floor(self.asked);
+            return now >= self.timely_at
+                && self.covered_shards >= route.floor(self.requested_shards);
         }
-        let few = self.awaited * 100 <= self.asked * LATE_PERCENT;
-        now >= self.timely_at && few && self.covered > 0
+        let few_missing = self.open_shards * 100 <= self.requested_shards * MAX_MISSING_PERCENT;
+        now >= self.timely_at && few_missing && self.covered_shards > 0
     }
 
-    /// So many parts are lost that the rest cannot reach the floor of its route.
+    /// Returns whether the covered and open shards together cannot reach the floor of the route.
     ///
-    /// Whoever asked can come back at once instead of waiting for an answer that will be none.
-    pub(crate) fn is_hopeless(&self) -> bool {
-        let short = |route: &Arc<Route>| {
-            route.is_sweep() && self.covered + self.awaited < route.floor(self.asked)
+    /// Such a query is refused early, so that its caller can retry immediately instead of waiting.
+    pub(crate) fn is_floor_unreachable(&self) -> bool {
+        let is_below_floor = |route: &Arc<Route>| {
+            route.is_sweep()
+                && self.covered_shards + self.open_shards < route.floor(self.requested_shards)
         };
-        self.route.as_ref().is_some_and(short)
+        self.route.as_ref().is_some_and(is_below_floor)
     }
 
-    /// Takes the portions of a plan in place of its present ones.
-    pub(crate) fn adopt(&mut self, plan: Plan) {
+    /// Replaces the query's portions with those of a plan.
+    pub(crate) fn adopt_plan(&mut self, plan: Plan) {
         self.index = plan.index;
         self.missing = plan.missing;
         self.terms.unrepeatable |= plan.terms.unrepeatable;
@@ -323,49 +342,50 @@
         if self.terms.complete || self.terms.unrepeatable {
             self.timely_at = self.answer_at;
         }
-        self.portions = plan.shares.iter().cloned().map(Portion::new).collect();
-        self.open = self.portions.len();
+        self.portions = plan.service_shards.iter().cloned().map(Portion::new).collect();
+        self.open_portions = self.portions.len();
         let portions = self.portions.iter();
-        self.awaited = portions.map(|portion| portion.share.shards.len()).sum();
-        self.asked = self.awaited + self.missing.len();
-        self.covered = 0;
+        self.open_shards = portions.map(|portion| portion.requested.shards.len()).sum();
+        self.requested_shards = self.open_shards + self.missing.len();
+        self.covered_shards = 0;
         self.rounds = 0;
     }
 
-    /// Ends the wait for a portion; `state` says what became of it.
-    pub(crate) fn close(&mut self, position: usize, state: State) {
+    /// Closes a portion with its outcome `state`, and updates the counts of shards.
+    pub(crate) fn close_portion(&mut self, position: usize, state: PortionState) {
         let portion = &mut self.portions[position];
-        let shards = portion.share.shards.len();
+        let shards = portion.requested.shards.len();
         if portion.is_open() {
-            self.open -= 1;
-            self.awaited -= shards;
+            self.open_portions -= 1;
+            self.open_shards -= shards;
         }
-        if matches!(state, State::Covered(_)) {
-            self.covered += shards;
+        if matches!(state, PortionState::Covered(_)) {
+            self.covered_shards += shards;
         }
         portion.state = state;
     }
 
-    /// Position of the portion of a service.
-    pub(crate) fn portion(&self, service: &str) -> Option<usize> {
-        self.portions.binary_search_by(|portion| (*portion.share.service).cmp(service)).ok()
+    /// Returns the position of the portion of a service.
+    pub(crate) fn portion_of_service(&self, service: &str) -> Option<usize> {
+        self.portions.binary_search_by(|portion| (*portion.requested.service).cmp(service)).ok()
     }
 
-    /// Nothing of it can have run so far.
-    pub(crate) fn is_untouched(&self) -> bool {
-        let untouched = |portion: &Portion| portion.verdict() == Verdict::NotRun;
-        !self.exposed && self.portions.iter().all(untouched)
+    /// Returns whether it is proved that nothing of the query has run so far.
+    pub(crate) fn is_proved_not_run(&self) -> bool {
+        let is_not_run = |portion: &Portion| portion.verdict() == Verdict::NotRun;
+        !self.earlier_version_may_have_run && self.portions.iter().all(is_not_run)
     }
 
-    /// Owners that may still hold something of it, each once, in order of sending.
-    pub(crate) fn holders(&self) -> Vec<PeerKey> {
-        let mut holders = Vec::new();
+    /// Returns the peers that may still hold portions of the query, each once, in order of
+    /// sending.
+    pub(crate) fn unanswered_peers(&self) -> Vec<PeerKey> {
+        let mut unanswered_peers = Vec::new();
         let sendings = self.portions.iter().flat_map(|portion| &portion.sendings);
-        for sending in sendings.filter(|sending| sending.progress != Progress::Ended) {
-            if !holders.contains(&sending.peer) {
-                holders.push(sending.peer);
+        for sending in sendings.filter(|sending| sending.progress != Progress::Answered) {
+            if !unanswered_peers.contains(&sending.peer) {
+                unanswered_peers.push(sending.peer);
             }
         }
-        holders
+        unanswered_peers
     }
 }
--- a/crates/core/src/gather/send.rs
+++ b/crates/core/src/gather/send.rs
@@ -18,34 +18,34 @@
 use crate::time::{Instant, micros};
 use crate::view::{Candidate, Peer};
 
-/// Sendings of one portion at most.
-pub(crate) const SENDINGS: usize = 3;
-/// Time that a reply takes to come back from an owner, in microseconds: kept from the owner's
-/// budget so that its refusal or answer arrives before this instance has to answer.
-const RETURN_US: u64 = 2_000;
+/// Maximum number of sendings of one portion.
+pub(crate) const MAX_SENDINGS: usize = 3;
+/// Time for a reply to return from an owner, in microseconds. It is subtracted from the owner's
+/// budget, so that the owner's reply arrives before this instance has to answer.
+const RETURN_TIME_US: u64 = 2_000;
 
 impl Machine {
-    /// The instance that a portion of `service` goes to next: the first live candidate that it was
-    /// not sent to yet, one that is not silent before one that is.
-    pub(crate) fn choose(
+    /// Selects the next instance for a portion of `service`: the first live candidate that the
+    /// portion was not sent to yet; candidates that are not silent are preferred.
+    pub(crate) fn choose_owner(
         &self,
         now: Instant,
         service: &str,
         sendings: &[Sending],
     ) -> Option<&Candidate> {
         let service = self.view.service(service)?;
-        let tried = |candidate: &Candidate| {
+        let was_sent = |candidate: &Candidate| {
             let key = self.peers.find(&candidate.peer.name);
             sendings.iter().any(|sending| Some(sending.peer) == key)
         };
         let mut live =
-            service.candidates.iter().filter(|candidate| candidate.live && !tried(candidate));
+            service.candidates.iter().filter(|candidate| candidate.live && !was_sent(candidate));
         let first = live.clone().next();
         live.find(|candidate| candidate.local || !self.peers.is_silent(&candidate.peer.name, now))
             .or(first)
     }
 
-    /// Sends all portions of a query for the first time under its present number.
+    /// Sends all portions of a query for the first time under its current query number.
     pub(crate) fn send_all(
         &mut self,
         now: Instant,
@@ -59,49 +59,50 @@
             portions: query.portions.len() as u32,
             missing: query.missing.len() as u32,
         };
-        self.history.add(query.account, now, step);
-        let collectors = self.collectors(now, key);
+        self.history.add(query.history_id, now, step);
+        let aggregators = self.partial_aggregators(now, key);
         let query = &self.queries[key];
         let owner = |service: &Arc<str>| {
-            let collector = collectors.iter().find(|one| one.services.contains(service));
-            let owner = || self.choose(now, service, &[]).map(|candidate| &candidate.peer);
-            collector.map(|collector| &collector.peer).or_else(owner).cloned()
+            let aggregator = aggregators.iter().find(|one| one.services.contains(service));
+            let owner = || self.choose_owner(now, service, &[]).map(|candidate| &candidate.peer);
+            aggregator.map(|aggregator| &aggregator.peer).or_else(owner).cloned()
         };
-        let services = query.portions.iter().map(|portion| &portion.share.service);
+        let services = query.portions.iter().map(|portion| &portion.requested.service);
         let owners: Vec<Option<Peer>> = services.map(owner).collect();
-        let lacking = !query.missing.is_empty() || owners.iter().any(Option::is_none);
-        if query.terms.unrepeatable && lacking {
-            self.withhold(key, &owners, out);
+        let is_incomplete = !query.missing.is_empty() || owners.iter().any(Option::is_none);
+        if query.terms.unrepeatable && is_incomplete {
+            self.refuse_all_unsent(key, &owners, out);
             return;
         }
         let probes = self.probes(now, key, &owners);
-        let mut targets = Vec::new();
+        let mut destinations = Vec::new();
         for (portion, owner) in owners.into_iter().enumerate() {
             match owner {
-                Some(owner) => targets.push((portion, owner)),
-                None => self.settle(key, portion, Reason::NoOwner, out),
+                Some(owner) => destinations.push((portion, owner)),
+                None => self.refuse_portion(key, portion, Reason::NoOwner, out),
             }
         }
-        self.send(now, key, targets, again, out);
+        self.send(now, key, destinations, again, out);
         if !probes.is_empty() {
             count(out, count::Event::Hedge, Reason::OwnerLost);
             self.send(now, key, probes, Some(Reason::OwnerLost), out);
         }
     }
 
-    /// Refuses an unrepeatable query of which a part cannot be had, before anything is sent: half a
-    /// booking helps nobody, and the caller may come back because nothing ran.
-    fn withhold(&mut self, key: QueryKey, owners: &[Option<Peer>], out: &mut Vec<Action>) {
+    /// Refuses a non-idempotent query of which a part is unavailable, before anything is sent:
+    /// half a booking is useless, and the caller may retry because nothing ran.
+    fn refuse_all_unsent(&mut self, key: QueryKey, owners: &[Option<Peer>], out: &mut Vec<Action>) {
         for (portion, owner) in owners.iter().enumerate() {
             let reason = match owner {
                 Some(_) => Reason::Cancelled,
                 None => Reason::NoOwner,
             };
-            self.settle(key, portion, reason, out);
+            self.refuse_portion(key, portion, reason, out);
         }
     }
 
-    /// At most one portion that also goes to its silent owner, to see whether that is back.
+    /// Selects at most one portion to send to its silent owner in addition, in order to check
+    /// whether the owner replies again.
     fn probes(
         &mut self,
         now: Instant,
@@ -113,7 +114,7 @@
             return Vec::new();
         }
         for (position, owner) in owners.iter().enumerate() {
-            let service = self.view.service(&query.portions[position].share.service);
+            let service = self.view.service(&query.portions[position].requested.service);
             let Some(first) = service.and_then(|service| service.owner()) else {
                 continue;
             };
@@ -125,24 +126,24 @@
         Vec::new()
     }
 
-    /// Sends portions, one work message for each owner. Each portion goes to one owner.
+    /// Sends portions to their destinations, in one work message for each destination.
     pub(crate) fn send(
         &mut self,
         now: Instant,
         key: QueryKey,
-        targets: Vec<(usize, Peer)>,
+        destinations: Vec<(usize, Peer)>,
         again: Option<Reason>,
         out: &mut Vec<Action>,
     ) {
-        self.queries[key].extra_calls += u32::from(again.is_some() && !targets.is_empty());
+        self.queries[key].extra_calls += u32::from(again.is_some() && !destinations.is_empty());
         let mut batches: Vec<(Peer, Vec<usize>)> = Vec::new();
-        let mut places = crate::collections::Map::default();
-        for (portion, peer) in targets {
-            let place = *places.entry(peer.name.clone()).or_insert(batches.len());
-            if place == batches.len() {
+        let mut batch_by_peer = crate::collections::Map::default();
+        for (portion, peer) in destinations {
+            let batch = *batch_by_peer.entry(peer.name.clone()).or_insert(batches.len());
+            if batch == batches.len() {
                 batches.push((peer, Vec::new()));
             }
-            batches[place].1.push(portion);
+            batches[batch].1.push(portion);
         }
         for (peer, portions) in batches {
             self.send_batch(now, key, &peer, &portions, again, out);
@@ -160,13 +161,13 @@
     ) {
         let peer_key = self.peers.key(peer);
         let state = self.peers.get(peer_key);
-        let local = state.is_some_and(|state| state.local);
-        let way = state.and_then(|state| state.way);
-        let zone = self.zone_of(peer, local);
+        let is_local = state.is_some_and(|state| state.is_local);
+        let round_trip = state.and_then(|state| state.round_trip);
+        let zone = self.zone_of(peer, is_local);
         self.choose_servers(now, key, portions, &zone);
         let query = &mut self.queries[key];
         let collect = match &self.settings.zone {
-            Some(_) if !local => collect::terms(now, query, way),
+            Some(_) if !is_local => collect::aggregation_terms(now, query, round_trip),
             _ => None,
         };
         query.rounds += 1;
@@ -178,40 +179,40 @@
                 peer: peer_key,
                 at: now,
                 progress: Progress::Open,
-                collected: collect.is_some(),
-                spoke: false,
+                is_aggregated: collect.is_some(),
+                has_reported: false,
             });
         }
         let step =
             Step::Sent { to: peer.name.clone(), round, portions: portions.len() as u32, again };
-        self.history.add(query.account, now, step);
-        let work = work(now, query, portions, collect);
+        self.history.add(query.history_id, now, step);
+        let work = wire_work(now, query, portions, collect);
         out.push(Action::Send { to: peer.clone(), work });
-        self.peers.sent(peer_key, now, portions.len() as u32);
-        self.watch(now, peer_key);
+        self.peers.record_sent(peer_key, now, portions.len() as u32);
+        self.arm_silence_timer(now, peer_key);
     }
 
-    /// Chooses the servers of a sweep's parts, or of a message that may go to some regions only, that go
-    /// out to an asker in this zone.
+    /// Selects the servers on which portions may run that are sent to an instance in the zone
+    /// `home`; applies to sweeps and to messages that are restricted to some regions.
     ///
-    /// What may have run keeps its servers; else an asker that can use none of them has the part chosen
-    /// for anew.
+    /// A portion that may have run keeps its servers. Otherwise servers are selected again, since
+    /// an instance reported that it can use none of the previous ones.
     fn choose_servers(&mut self, now: Instant, key: QueryKey, portions: &[usize], home: &str) {
         let query = &mut self.queries[key];
-        let Some(route) = query.route.as_ref().filter(|route| chooses_servers(route)) else {
+        let Some(route) = query.route.as_ref().filter(|route| restricts_servers(route)) else {
             return;
         };
         let route = Arc::clone(route);
         let attempts = if route.is_sweep() { route.spec.attempts as usize } else { usize::MAX };
         for &portion in portions {
             let portion = &mut query.portions[portion];
-            let service = self.view.service(&portion.share.service);
+            let service = self.view.service(&portion.requested.service);
             let Some(service) = service.filter(|_| portion.verdict() == Verdict::NotRun) else {
                 continue;
             };
-            let avoid = self.avoid.of(now, &service.name);
-            let passed = [&*portion.passed, avoid].concat();
-            let (key, passed) = (&*query.request.key, &*passed);
+            let avoid = self.avoided_servers.servers(now, &service.name);
+            let avoided = [&*portion.unusable, avoid].concat();
+            let (key, passed) = (&*query.request.key, &*avoided);
             let terms = eligible::Terms { attempts, key, home, passed };
             let homes = &route.spec.homes;
             let home = service.servers.iter();
@@ -220,32 +221,32 @@
         }
     }
 
-    /// Zone of a peer; empty if it is not known.
-    fn zone_of(&self, peer: &Peer, local: bool) -> Arc<str> {
-        let zone = match local {
+    /// Returns the zone of a peer; empty if the zone is unknown.
+    fn zone_of(&self, peer: &Peer, is_local: bool) -> Arc<str> {
+        let zone = match is_local {
             true => self.settings.zone.as_ref(),
-            false => self.near.zone(&peer.name),
+            false => self.aggregator_selector.zone(&peer.name),
         };
         zone.cloned().unwrap_or_default()
     }
 
-    /// Sees to it that the silence of a peer that owes something is noticed.
-    pub(crate) fn watch(&mut self, now: Instant, key: PeerKey) {
+    /// Sets the timer that detects the silence of a peer from which a reply is due.
+    pub(crate) fn arm_silence_timer(&mut self, now: Instant, key: PeerKey) {
         if !self.settings.hedging {
             return;
         }
         let Some(state) = self.peers.get_mut(key) else {
             return;
         };
-        if state.local {
+        if state.is_local {
             return;
         }
         let Some(overdue) = state.overdue_at() else {
             return;
         };
         let at = overdue.max(now);
-        // A timer that comes too early finds that out and is set again; one that would come too
-        // late, set when the peer's limit was longer, is replaced.
+        // A timer that is due too early is set again when it is handled. A timer that would be due
+        // too late, because it was set when the peer's silence limit was longer, is replaced.
         match state.timer {
             Some(timer) if timer <= at => return,
             Some(timer) => self.timers.remove(timer, Timer::Peer(key)),
@@ -256,8 +257,8 @@
     }
 }
 
-/// The work message for some portions of a query.
-fn work(
+/// Builds the work message for some portions of a query.
+fn wire_work(
     now: Instant,
     query: &Query,
     portions: &[usize],
@@ -273,21 +274,22 @@
         version: query.index.version,
         operation: query.request.operation.clone(),
         payload: query.request.payload.clone(),
-        budget_us: left - RETURN_US.min(left / 4),
+        budget_us: left - RETURN_TIME_US.min(left / 4),
         unrepeatable: query.terms.unrepeatable,
         portions: portions
             .iter()
             .map(|&portion| wire_portion(query, &query.portions[portion]))
             .collect(),
         extra_calls: query.extra_calls,
-        forward: forward(now, query),
+        forward: wire_forward(now, query),
         collect,
         fingerprint: query.fingerprint.bytes().into(),
     }
 }
 
-/// How a message is to be forwarded; `None` for a query of the product's own.
-fn forward(now: Instant, query: &Query) -> Option<Box<wire::Forward>> {
+/// Builds the terms under which the owner forwards a message; `None` for a query that is not a
+/// forwarded message.
+fn wire_forward(now: Instant, query: &Query) -> Option<Box<wire::Forward>> {
     let route = query.route.as_ref()?;
     Some(Box::new(wire::Forward {
         message: query.request.message.as_deref().cloned(),
@@ -303,19 +305,19 @@
     }))
 }
 
-/// Whether the servers are chosen here that a route's messages may run on.
-fn chooses_servers(route: &Route) -> bool {
+/// Returns whether the entry instance selects the servers on which a route's messages may run.
+fn restricts_servers(route: &Route) -> bool {
     route.is_sweep() || !route.spec.homes.is_empty()
 }
 
 fn wire_portion(query: &Query, portion: &Portion) -> wire::Portion {
-    let chosen = query.route.as_deref().is_some_and(chooses_servers);
+    let chosen = query.route.as_deref().is_some_and(restricts_servers);
     let shards = &query.index.shards;
     let name = |&position: &u32| shards[position as usize].name.clone();
     wire::Portion {
-        service: portion.share.service.to_string(),
-        shards: portion.share.shards.iter().map(name).collect(),
-        repeated: query.exposed || portion.is_repeated(query.rounds),
+        service: portion.requested.service.to_string(),
+        shards: portion.requested.shards.iter().map(name).collect(),
+        repeated: query.earlier_version_may_have_run || portion.is_repeated(query.rounds),
         eligible: chosen.then(|| wire::Eligible {
             servers: portion.eligible.iter().map(|mark| mark.0).collect(),
         }),
--- a/crates/core/src/gather/settings.rs
+++ b/crates/core/src/gather/settings.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::near::Own;
+use super::near::LocalInstance;
 
 /// Settings of the gathering machine.
 #[derive(Clone, Debug)]
@@ -10,15 +10,15 @@
     pub(crate) name: Arc<str>,
     pub(crate) incarnation: u64,
     pub(crate) hedging: bool,
-    pub(crate) history: usize,
-    /// Where this instance stands, when parts of sweeps are collected near their servers.
+    pub(crate) history_capacity: usize,
+    /// Availability zone of this instance, if peers aggregate parts of sweeps near the servers.
     pub(crate) zone: Option<Arc<str>>,
-    /// Thousandths of a processor core that this instance may use.
+    /// Processor capacity available to this instance, in thousandths of a core.
     pub(crate) millicores: u32,
 }
 
 impl Settings {
-    /// Starts from the defaults for the instance `name` in its `incarnation`.
+    /// Returns a builder with the default settings for the instance `name` in its `incarnation`.
     pub fn builder(name: &str, incarnation: u64) -> Builder {
         let name = name.into();
         let zone = None;
@@ -27,16 +27,16 @@
                 name,
                 incarnation,
                 hedging: true,
-                history: 256,
+                history_capacity: 256,
                 zone,
                 millicores: 1000,
             },
         }
     }
 
-    /// This instance, which stands in `zone`, among those that may collect.
-    pub(crate) fn own<'a>(&'a self, zone: &'a str) -> Own<'a> {
-        Own { name: &self.name, zone, millicores: self.millicores }
+    /// Returns this instance, which is in `zone`, as a candidate for partial aggregation.
+    pub(crate) fn local_instance<'a>(&'a self, zone: &'a str) -> LocalInstance<'a> {
+        LocalInstance { name: &self.name, zone, millicores: self.millicores }
     }
 }
 
@@ -47,39 +47,41 @@
 }
 
 impl Builder {
-    /// Whether repeatable work at a silent owner also goes to the next candidate. Default: true.
+    /// Sets whether idempotent work at a silent owner is also sent to the next candidate. Default:
+    /// true.
     #[must_use]
     pub fn hedging(mut self, hedging: bool) -> Self {
         self.settings.hedging = hedging;
         self
     }
 
-    /// Number of queries that `Machine::explain` remembers. Default: 256.
+    /// Sets the number of recent queries whose steps `Machine::explain` returns. Default: 256.
     ///
-    /// The account of a sweep over 30 parts takes some kilobytes; with 512 a process's memory was
-    /// 12.3 MB at its peak, with 256 it is 11.5.
+    /// The history of a sweep over 30 parts takes some kilobytes: the peak memory of a process is
+    /// 12.3 MB with 512 queries and 11.5 MB with 256.
     #[must_use]
     pub fn history(mut self, queries: usize) -> Self {
-        self.settings.history = queries;
+        self.settings.history_capacity = queries;
         self
     }
 
-    /// Has parts of sweeps collected near their servers; this instance stands in `zone`. Default:
-    /// it asks all servers itself.
+    /// Enables the aggregation of parts of sweeps by peers near the servers; this instance is in
+    /// `zone`. Default: this instance calls all servers itself.
     #[must_use]
     pub fn near(mut self, zone: &str) -> Self {
         self.settings.zone = Some(zone.into());
         self
     }
 
-    /// Thousandths of a processor core that this instance may use. Default: 1000.
+    /// Sets the processor capacity available to this instance, in thousandths of a core. Default:
+    /// 1000.
     #[must_use]
     pub fn millicores(mut self, millicores: u32) -> Self {
         self.settings.millicores = millicores;
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> Settings {
         self.settings
     }
--- a/crates/core/src/gather/take.rs
+++ b/crates/core/src/gather/take.rs
@@ -1,4 +1,4 @@
-//! Takes replies in and decides what a refusal leads to.
+//! Handles replies and decides how to proceed after a refusal.
 
 use std::time::Duration;
 
@@ -10,27 +10,28 @@
 use super::machine::{Machine, count};
 use super::peers::PeerKey;
 use super::plan;
-use super::query::{Portion, Progress, QueryKey, State};
-use super::reply::{self, Place};
-use super::send::SENDINGS;
+use super::query::{Portion, PortionState, Progress, QueryKey};
+use super::reply::{self, SendingLocation};
+use super::send::MAX_SENDINGS;
 use crate::count;
 use crate::time::Instant;
 
-/// Versions a query gives up at most.
-const RESTARTS: usize = 2;
+/// Maximum number of index versions that a query abandons.
+const MAX_RESTARTS: usize = 2;
 
-/// What a refused portion's reason leads to.
+/// How to proceed after the refusal of a portion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Remedy {
-    /// Another candidate may take it.
-    Next,
-    /// The whole query starts again on another version.
-    Restart,
-    /// Nothing: the limit is the fleet's, or another candidate would fail alike.
-    Stop,
+enum Recovery {
+    /// Send the portion to another candidate.
+    NextCandidate,
+    /// Restart the whole query on another index version.
+    RestartQuery,
+    /// Refuse the portion: the limit applies to the whole fleet, or another candidate would fail
+    /// too.
+    RefusePortion,
 }
 
-fn remedy(reason: Reason) -> Remedy {
+fn recovery(reason: Reason) -> Recovery {
     match reason {
         // The owner refused because of its own state or view, or could not be reached.
         Reason::NotReady
@@ -46,16 +47,16 @@
         | Reason::UnknownOperation
         | Reason::UnknownShard
         | Reason::LinkFull
-        | Reason::LinkCut => Remedy::Next,
-        Reason::VersionRetired => Remedy::Restart,
-        // The limits are the fleet's: at another candidate they would only be broken. Errors of
-        // targets have been retried by the owner within its budget.
-        _ => Remedy::Stop,
+        | Reason::LinkCut => Recovery::NextCandidate,
+        Reason::VersionRetired => Recovery::RestartQuery,
+        // Limits apply to the whole fleet: another candidate would only exceed them. Errors of
+        // servers have already been retried by the owner within its budget.
+        _ => Recovery::RefusePortion,
     }
 }
 
-/// Whether an owner gives this reason only before it has sent the portion to any server.
-const fn is_before_servers(reason: Reason) -> bool {
+/// Returns whether an owner gives this reason only before it has sent the portion to any server.
+const fn is_given_before_sending(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::NotReady
@@ -70,7 +71,7 @@
 }
 
 impl Machine {
-    pub(crate) fn replies(
+    pub(crate) fn handle_replies(
         &mut self,
         now: Instant,
         from: &str,
@@ -83,25 +84,25 @@
             }
             return;
         };
-        self.peers.heard(peer, now);
+        self.peers.record_message(peer, now);
         let mut replies = replies.into_iter();
         while let Some(reply) = replies.next() {
-            let taken = match reply.merged as usize {
-                0 | 1 => self.reply(now, peer, reply, out),
+            let result = match reply.merged as usize {
+                0 | 1 => self.handle_reply(now, peer, reply, out),
                 count => {
                     let rest = replies.by_ref().take(count - 1);
                     let group = std::iter::once(reply).chain(rest).collect();
-                    self.collected(now, peer, group, out)
+                    self.handle_merged_replies(now, peer, group, out)
                 }
             };
-            if let Err(reason) = taken {
+            if let Err(reason) = result {
                 count(out, count::Event::Drop, reason);
             }
         }
     }
 
-    /// Takes one reply, or says why it is dropped.
-    fn reply(
+    /// Handles one reply, or returns why it is dropped.
+    fn handle_reply(
         &mut self,
         now: Instant,
         from: PeerKey,
@@ -111,63 +112,71 @@
         if reply.incarnation != self.settings.incarnation {
             return Err(Reason::StaleAnswer);
         }
-        let key = *self.numbers.get(&reply.query).ok_or(Reason::StaleAnswer)?;
-        let place = reply::place(&self.queries[key], from, &reply)?;
-        self.close(now, key, place, &reply);
-        let portion = &self.queries[key].portions[place.portion];
-        if matches!(portion.state, State::Covered(_)) {
-            // The other copy of a portion that was sent twice.
+        let key = *self.query_by_number.get(&reply.query).ok_or(Reason::StaleAnswer)?;
+        let location = reply::match_sending(&self.queries[key], from, &reply)?;
+        self.record_reply(now, key, location, &reply);
+        let portion = &self.queries[key].portions[location.portion];
+        if matches!(portion.state, PortionState::Covered(_)) {
+            // The reply is to the other sending of a portion that was sent twice.
             return Err(Reason::StaleAnswer);
         }
         if reply.verdict() == Verdict::Ran && reply.reason() == Reason::Unspecified {
             let query = &mut self.queries[key];
-            let parts = reply::in_order(query, place.portion, reply.parts);
-            query.close(place.portion, State::Covered(parts));
+            let parts = reply::in_order(query, location.portion, reply.parts);
+            query.close_portion(location.portion, PortionState::Covered(parts));
         } else {
-            self.refused(now, key, place.portion, &reply, out);
+            self.handle_refusal(now, key, location.portion, &reply, out);
         }
         self.finish_if_settled(now, key, out);
         Ok(())
     }
 
-    /// Notes that a sending is answered.
-    pub(super) fn close(&mut self, now: Instant, key: QueryKey, place: Place, reply: &wire::Reply) {
+    /// Records that a sending was answered, with the timing and server load that the reply
+    /// reports.
+    pub(super) fn record_reply(
+        &mut self,
+        now: Instant,
+        key: QueryKey,
+        location: SendingLocation,
+        reply: &wire::Reply,
+    ) {
         let query = &mut self.queries[key];
-        let portion = &mut query.portions[place.portion];
-        let sending = &mut portion.sendings[place.sending];
+        let portion = &mut query.portions[location.portion];
+        let sending = &mut portion.sendings[location.sending];
         if sending.progress == Progress::Open {
-            self.peers.ended(sending.peer);
+            self.peers.record_closed(sending.peer);
         }
-        sending.progress = Progress::Ended;
+        sending.progress = Progress::Answered;
         if reply.busy_permille > 0 {
-            self.near.heard_of(&portion.share.service, reply.busy_permille);
+            self.aggregator_selector
+                .record_utilization(&portion.requested.service, reply.busy_permille);
         }
         if reply.verdict() == Verdict::Ran {
-            self.avoid.report(now, &portion.share.service, &reply.avoid);
+            self.avoided_servers.record_report(now, &portion.requested.service, &reply.avoid);
         }
         let (peer, at) = (sending.peer, sending.at);
-        if sending.collected && !sending.spoke {
-            self.spoke(key, peer, reply.round);
+        if sending.is_aggregated && !sending.has_reported {
+            self.mark_round_reported(key, peer, reply.round);
         }
         if reply.held_us > 0 {
             let held = Duration::from_micros(reply.held_us);
-            self.peers.learn_way(peer, now.since(at).saturating_sub(held));
+            self.peers.record_round_trip(peer, now.since(at).saturating_sub(held));
         }
-        self.peers.learn(peer, now.since(at));
+        self.peers.record_reply_time(peer, now.since(at));
         let query = &self.queries[key];
-        let portion = &query.portions[place.portion];
+        let portion = &query.portions[location.portion];
         let from = self.peers.get(peer);
         let step = Step::Replied {
             from: from.map_or_else(|| "".into(), |state| state.peer.name.clone()),
-            service: portion.share.service.clone(),
+            service: portion.requested.service.clone(),
             verdict: reply.verdict(),
             reason: reply.reason(),
         };
-        self.history.add(query.account, now, step);
+        self.history.add(query.history_id, now, step);
     }
 
-    /// Decides what follows when an owner did not answer a portion.
-    pub(super) fn refused(
+    /// Decides how to proceed after an owner refused or failed a portion.
+    pub(super) fn handle_refusal(
         &mut self,
         now: Instant,
         key: QueryKey,
@@ -179,29 +188,30 @@
         let query = &mut self.queries[key];
         query.retry_after_ms = query.retry_after_ms.max(reply.retry_after_ms);
         let portion = &mut query.portions[position];
-        portion.exposed |= verdict != Verdict::NotRun;
+        portion.may_have_run |= verdict != Verdict::NotRun;
         portion.ran |= verdict == Verdict::Ran;
-        portion.reached |= verdict != Verdict::NotRun || !is_before_servers(reason);
+        portion.may_have_reached_server |=
+            verdict != Verdict::NotRun || !is_given_before_sending(reason);
         if matches!(reason, Reason::NoServer | Reason::Evacuated | Reason::ConnectFailed) {
-            portion.passed.extend(&portion.eligible);
+            portion.unusable.extend(&portion.eligible);
         }
-        if !portion.is_open() || portion.is_awaited() {
+        if !portion.is_open() || portion.awaits_reply() {
             return;
         }
-        let done = match remedy(reason) {
+        let recovered = match recovery(reason) {
             _ if self.queries[key].withdrawn => false,
-            Remedy::Next => self.next_owner(now, key, position, reason, out),
-            Remedy::Restart if verdict == Verdict::NotRun => self.restart(now, key, out),
-            Remedy::Restart | Remedy::Stop => false,
+            Recovery::NextCandidate => self.retry_at_next(now, key, position, reason, out),
+            Recovery::RestartQuery if verdict == Verdict::NotRun => self.restart(now, key, out),
+            Recovery::RestartQuery | Recovery::RefusePortion => false,
         };
-        if !done {
-            self.settle(key, position, reason, out);
+        if !recovered {
+            self.refuse_portion(key, position, reason, out);
         }
     }
 
-    /// Sends a portion on which no reply is awaited to the next candidate; false if it may not be
-    /// sent again or there is none.
-    pub(crate) fn next_owner(
+    /// Sends a portion on which no reply is awaited to the next candidate. Returns false if the
+    /// portion must not be sent again or there is no candidate.
+    pub(crate) fn retry_at_next(
         &mut self,
         now: Instant,
         key: QueryKey,
@@ -222,46 +232,50 @@
         true
     }
 
-    /// Starts the query again on another version that every shard is held at; false if there is
-    /// none, the time is too short or something unrepeatable may have run.
+    /// Restarts the query on another index version in which every shard is available. Returns
+    /// false if there is none, if less than a third of the deadline is left, or if a
+    /// non-idempotent query may have run.
     ///
-    /// The failure: a version is retired while the query runs, some servers answer from it and
-    /// others cannot. Mixed parts would be a state that never was. The old parts are dropped, and
-    /// the new query number keeps late replies of the old version out.
+    /// This prevents the following failure: a version is retired while the query runs, so that
+    /// some servers answer from it and others cannot. An answer with parts of both versions would
+    /// show a state of the index that never existed. The parts of the old version are dropped, and
+    /// the new query number rejects late replies of the old version.
     pub(crate) fn restart(&mut self, now: Instant, key: QueryKey, out: &mut Vec<Action>) -> bool {
         let query = &self.queries[key];
-        let untouched = query.is_untouched();
-        if query.terms.unrepeatable && !untouched {
+        let is_not_run = query.is_proved_not_run();
+        if query.terms.unrepeatable && !is_not_run {
             return false;
         }
-        let third = query.terms.deadline / 3;
-        if query.retired.len() >= RESTARTS || query.answer_at.since(now) < third {
+        let min_time_left = query.terms.deadline / 3;
+        if query.retired_versions.len() >= MAX_RESTARTS
+            || query.answer_at.since(now) < min_time_left
+        {
             return false;
         }
-        let mut retired = query.retired.clone();
-        retired.push(query.index.version);
-        let Ok(plan) = plan::plan(&self.view, &query.request, &retired) else {
+        let mut retired_versions = query.retired_versions.clone();
+        retired_versions.push(query.index.version);
+        let Ok(plan) = plan::plan_request(&self.view, &query.request, &retired_versions) else {
             return false;
         };
         if !plan.missing.is_empty() {
             return false;
         }
-        self.cancel(key, out);
-        let number = self.number();
+        self.cancel_query(key, out);
+        let number = self.next_query_number();
         let query = &mut self.queries[key];
-        self.numbers.remove(&query.number);
-        self.numbers.insert(number, key);
+        self.query_by_number.remove(&query.number);
+        self.query_by_number.insert(number, key);
         query.number = number;
-        query.retired = retired;
-        query.exposed |= !untouched;
-        query.adopt(plan);
+        query.retired_versions = retired_versions;
+        query.earlier_version_may_have_run |= !is_not_run;
+        query.adopt_plan(plan);
         count(out, count::Event::Retry, Reason::VersionRetired);
         self.send_all(now, key, Some(Reason::VersionRetired), out);
         true
     }
 
-    /// Gives up waiting for a portion.
-    pub(crate) fn settle(
+    /// Closes an open portion as refused and counts the refusal.
+    pub(crate) fn refuse_portion(
         &mut self,
         key: QueryKey,
         position: usize,
@@ -272,15 +286,15 @@
         if !query.portions[position].is_open() {
             return;
         }
-        query.close(position, State::Refused(reason));
+        query.close_portion(position, PortionState::Refused(reason));
         count(out, count::Event::Refusal, reason);
     }
 }
 
-/// The one rule for every second sending: what may not be repeated goes out again only after proof
-/// that no earlier sending ran.
+/// Returns whether a portion may be sent again. Every repeated sending is subject to this rule: a
+/// portion of a non-idempotent query is sent again only after proof that no earlier sending ran.
 pub(crate) fn may_send_again(unrepeatable: bool, portion: &Portion) -> bool {
-    if portion.sendings.len() >= SENDINGS {
+    if portion.sendings.len() >= MAX_SENDINGS {
         return false;
     }
     !unrepeatable || portion.verdict() == Verdict::NotRun
--- a/crates/core/src/gather/timers.rs
+++ b/crates/core/src/gather/timers.rs
@@ -1,4 +1,4 @@
-//! The times at which the machine wants to be woken.
+//! Timers of the gathering machine.
 
 use std::collections::BTreeSet;
 
@@ -6,12 +6,12 @@
 use super::query::QueryKey;
 use crate::time::Instant;
 
-/// Whose time comes.
+/// The query or peer that a timer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// A query wants to answer.
+    /// The query has to be checked for an answer.
     Query(QueryKey),
-    /// A peer has been silent for too long.
+    /// The peer may have exceeded its silence limit.
     Peer(PeerKey),
 }
 
@@ -22,22 +22,22 @@
 }
 
 impl Timers {
-    /// Asks to be woken.
+    /// Sets a timer.
     pub(crate) fn add(&mut self, at: Instant, timer: Timer) {
         self.set.insert((at, timer));
     }
 
-    /// Withdraws what [`Timers::add`] asked for.
+    /// Removes a timer that [`Timers::add`] set.
     pub(crate) fn remove(&mut self, at: Instant, timer: Timer) {
         self.set.remove(&(at, timer));
     }
 
-    /// The earliest time asked for.
+    /// Returns the due time of the earliest timer.
     pub(crate) fn next(&self) -> Option<Instant> {
         self.set.first().map(|&(at, _)| at)
     }
 
-    /// Takes the earliest timer that is due.
+    /// Removes and returns the earliest timer if it is due.
     pub(crate) fn due(&mut self, now: Instant) -> Option<(Instant, Timer)> {
         let &(at, timer) = self.set.first()?;
         if at > now {
