--- a/crates/core/tests/gather/any_order.rs
+++ b/crates/core/tests/gather/any_order.rs
@@ -1,4 +1,4 @@
-//! Whatever the machine is told, in whatever order, it keeps its promises.
+//! Property test: the invariants of the gathering machine hold for any events in any order.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 use crate::oracle::{Oracle, Sent};
 use crate::session::{INCARNATION, request};
 
-/// Version 9 moves shards between services and replaces `f` by `g`.
-const MOVED: [(&str, &str); 6] =
+/// Shard map of version 9, which moves shards between services and replaces `f` by `g`.
+const MOVED_MAP: [(&str, &str); 6] =
     [("a", "s2"), ("b", "s1"), ("c", "s2"), ("d", "s3"), ("e", "s3"), ("g", "s1")];
 
 const REASONS: [Reason; 12] = [
@@ -32,48 +32,48 @@
     Reason::Cancelled,
 ];
 
-/// One machine with its oracle.
-struct World {
+/// A gathering machine with an oracle that checks its actions.
+struct Simulation {
     machine: Machine,
     oracle: Oracle,
     now: Instant,
     callers: u64,
-    /// Replies given so far, to be given again.
-    given: Vec<(String, Reply)>,
+    /// Replies delivered so far, which may be delivered again.
+    past_replies: Vec<(String, Reply)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             machine: Machine::new(Settings::builder(SELF, INCARNATION).build()),
             oracle: Oracle::default(),
             now: Instant::from_millis(1000),
             callers: 0,
-            given: Vec::new(),
+            past_replies: Vec::new(),
         };
-        world.view(0b111_111, 0b0101_0101);
-        world
+        simulation.publish_view(0b111_111, 0b0101_0101);
+        simulation
     }
 
-    fn give(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let mut out = Vec::new();
         self.machine.handle(self.now, event, &mut out);
         self.oracle.check(self.now, &self.machine, &out);
     }
 
-    fn step(&mut self, [kind, a, b, c]: [u8; 4]) {
+    fn apply_step(&mut self, [kind, a, b, c]: [u8; 4]) {
         match kind % 32 {
             0..=7 => self.call(a, b, c),
             8..=17 => self.reply(a, b, c),
-            18..=19 => self.again(a),
-            20..=23 => self.wake(a),
-            24..=25 => self.sleep(a),
-            26 => self.give(Event::Paused(Duration::from_millis(a.into()))),
-            27 => self.give(Event::LinkDown(format!("e{}", 1 + a % 4).into())),
-            28..=29 => self.view(a, b),
-            30 => self.hang_up(a),
-            _ if (a, b % 4) == (0, 0) => self.give(Event::Drain),
-            _ => self.wake(a),
+            18..=19 => self.repeat_reply(a),
+            20..=23 => self.advance(a),
+            24..=25 => self.skip_time(a),
+            26 => self.deliver(Event::Paused(Duration::from_millis(a.into()))),
+            27 => self.deliver(Event::LinkDown(format!("e{}", 1 + a % 4).into())),
+            28..=29 => self.publish_view(a, b),
+            30 => self.disconnect(a),
+            _ if (a, b % 4) == (0, 0) => self.deliver(Event::Drain),
+            _ => self.advance(a),
         }
     }
 
@@ -90,26 +90,27 @@
             unrepeatable: c & 0x30 == 0x30,
             ..request(&format!("k{}", a >> 5), operation, &asked)
         };
-        self.oracle.called(self.now, caller, &request);
-        self.give(Event::Call { caller, request });
+        self.oracle.record_call(self.now, caller, &request);
+        self.deliver(Event::Call { caller, request });
     }
 
-    fn hang_up(&mut self, a: u8) {
+    fn disconnect(&mut self, a: u8) {
         let caller = Caller(self.callers.saturating_sub(u64::from(a % 4)));
-        self.oracle.gone(caller);
-        self.give(Event::Gone(caller));
+        self.oracle.record_disconnect(caller);
+        self.deliver(Event::Gone(caller));
     }
 
-    /// A reply to one of the last sendings, in one of two cases with something wrong about it.
+    /// Delivers a reply to one of the last 16 sendings; the low four bits of `c` select a change
+    /// to the reply, most of which make it invalid.
     fn reply(&mut self, a: u8, b: u8, c: u8) {
         let recent = self.oracle.sent.len().min(16);
         if recent == 0 {
             return;
         }
-        let place = self.oracle.sent.len() - 1 - usize::from(a) % recent;
-        let sent = self.oracle.sent[place].clone();
+        let index = self.oracle.sent.len() - 1 - usize::from(a) % recent;
+        let sent = self.oracle.sent[index].clone();
         let mut from = sent.to.clone();
-        let mut reply = reply(&sent, b);
+        let mut reply = reply_to(&sent, b);
         match c % 16 {
             0 => reply.version += 1,
             1 => from = "e4".to_owned(),
@@ -120,74 +121,76 @@
             6 => drop(reply.parts.pop()),
             7 => reply.parts.extend(reply.parts.first().cloned()),
             8 => reply.service = "s2".to_owned(),
-            // Not wrong: parts may come in any order.
+            // This change is valid: parts may be in any order.
             9 => reply.parts.reverse(),
             _ => {}
         }
-        // What a reply says belongs to the query that it names.
+        // The bodies of the parts name the version and the query that the reply names.
         for part in &mut reply.parts {
             part.body = format!("{}@{}#{}", part.shard, reply.version, reply.query);
         }
-        self.given.push((from.clone(), reply.clone()));
-        self.replied(from, reply);
+        self.past_replies.push((from.clone(), reply.clone()));
+        self.deliver_reply(from, reply);
     }
 
-    fn again(&mut self, a: u8) {
-        if self.given.is_empty() {
+    fn repeat_reply(&mut self, a: u8) {
+        if self.past_replies.is_empty() {
             return;
         }
-        let place = usize::from(a) % self.given.len();
-        let (from, reply) = self.given[place].clone();
-        self.replied(from, reply);
+        let index = usize::from(a) % self.past_replies.len();
+        let (from, reply) = self.past_replies[index].clone();
+        self.deliver_reply(from, reply);
     }
 
-    fn replied(&mut self, from: String, reply: Reply) {
-        self.oracle.replied(&from, &reply);
-        self.give(Event::Replies { from: from.into(), replies: vec![reply] });
+    fn deliver_reply(&mut self, from: String, reply: Reply) {
+        self.oracle.record_reply(&from, &reply);
+        self.deliver(Event::Replies { from: from.into(), replies: vec![reply] });
     }
 
-    /// Time passes and the machine is woken as it asks.
-    fn wake(&mut self, a: u8) {
+    /// Advances the time by `a` milliseconds and delivers a tick whenever the machine requests it.
+    fn advance(&mut self, a: u8) {
         let end = self.now + Duration::from_millis(a.into());
         while let Some(at) = self.machine.next_wake().filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            self.give(Event::Tick);
+            self.deliver(Event::Tick);
             let next = self.machine.next_wake();
-            assert!(next.is_none_or(|next| next > self.now), "it sleeps at last");
+            assert!(next.is_none_or(|next| next > self.now), "no timer is due immediately again");
         }
         self.now = end;
     }
 
-    /// Time passes unnoticed; whatever comes next comes late.
-    fn sleep(&mut self, a: u8) {
+    /// Advances the time by four times `a` milliseconds without ticks, so that the next event is
+    /// late.
+    fn skip_time(&mut self, a: u8) {
         self.now = self.now + Duration::from_millis(u64::from(a) * 4);
     }
 
-    /// Bits of `a` say which instances live, those of `b` which versions the services hold.
-    fn view(&mut self, a: u8, b: u8) {
+    /// Publishes a view: the bits of `a` select the live instances, those of `b` the versions that
+    /// the services hold.
+    fn publish_view(&mut self, a: u8, b: u8) {
         let mut fleet = Fleet::default();
         fleet.versions.insert(0, (8, MAP.to_vec()));
-        fleet.versions.insert(0, (9, MOVED.to_vec()));
+        fleet.versions.insert(0, (9, MOVED_MAP.to_vec()));
         fleet.ready = a >> 6 != 0b11;
         for instance in ["e1", "e2", "e3"].iter().enumerate() {
             if a >> instance.0 & 1 == 0 {
-                fleet = fleet.without(instance.1);
+                fleet = fleet.without_instance(instance.1);
             }
         }
-        for (site, held) in fleet.sites.iter_mut().zip([b, b >> 2, b >> 4]) {
+        for (spec, held) in fleet.services.iter_mut().zip([b, b >> 2, b >> 4]) {
             let held = [vec![7], vec![7, 8], vec![8, 9], vec![9]][usize::from(held & 3)].clone();
-            site.held = vec![held; 2];
-            site.leaving = vec![b >> 6 == 0b11 && site.name == "s2"; 2];
+            spec.held_versions = vec![held; 2];
+            spec.leaving = vec![b >> 6 == 0b11 && spec.name == "s2"; 2];
         }
         for (version, map) in &fleet.versions {
             let names = map.iter().map(|(shard, _)| (*shard).to_owned());
-            self.oracle.maps.insert(*version, names.collect());
+            self.oracle.shards_by_version.insert(*version, names.collect());
         }
-        self.give(Event::View(fleet.view()));
+        self.deliver(Event::View(fleet.view()));
     }
 }
 
-fn reply(sent: &Sent, b: u8) -> Reply {
+fn reply_to(sent: &Sent, b: u8) -> Reply {
     let covered = b & 3 != 0;
     let parts = sent.portion.shards.iter().map(|shard| Part {
         shard: shard.clone(),
@@ -213,16 +216,16 @@
 }
 
 #[test]
-fn promises_hold_in_any_order_of_events() {
+fn invariants_hold_for_any_event_order() {
     let steps = bolero::generator::produce::<Vec<[u8; 4]>>().with().len(0usize..160);
     ladder_property::check(1500).with_generator(steps).for_each(|steps: &Vec<[u8; 4]>| {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for &step in steps {
-            world.step(step);
+            simulation.apply_step(step);
         }
-        // Left alone, everything is answered.
-        world.wake(255);
-        world.wake(255);
-        assert_eq!(world.machine.open(), 0);
+        // Without further events, all calls are answered.
+        simulation.advance(255);
+        simulation.advance(255);
+        assert_eq!(simulation.machine.open(), 0);
     });
 }
--- a/crates/core/tests/gather/fleet.rs
+++ b/crates/core/tests/gather/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet to build views from: three instances, three services, six shards.
+//! Builds views of a small fleet: three instances, three services, six shards.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,43 +7,43 @@
 use ladder_core::schema::publication::{Holding, Index, Shard};
 use ladder_core::view::{Candidate, Peer, Server, Service, View};
 
-/// The index of the tests.
+/// Name of the index in the tests.
 pub(crate) const INDEX: &str = "docks";
-/// The instance under test.
+/// Name of the instance under test.
 pub(crate) const SELF: &str = "e1";
-/// Shards with their services in the usual map.
+/// Shards with their services in the default shard map.
 pub(crate) const MAP: [(&str, &str); 6] =
     [("a", "s1"), ("b", "s1"), ("c", "s2"), ("d", "s2"), ("e", "s3"), ("f", "s3")];
 
-/// A service with the versions that its two servers hold and its candidates.
+/// A service with its candidates and the index versions that its two servers hold.
 #[derive(Clone, Debug)]
-pub(crate) struct Site {
+pub(crate) struct ServiceSpec {
     pub(crate) name: &'static str,
-    /// Versions held by each of the servers.
-    pub(crate) held: Vec<Vec<u64>>,
+    /// Index versions held by each of the servers.
+    pub(crate) held_versions: Vec<Vec<u64>>,
     pub(crate) leaving: Vec<bool>,
     pub(crate) candidates: Vec<(&'static str, bool)>,
     pub(crate) operations: Vec<Operation>,
 }
 
-/// What a view is built from.
+/// The state of the fleet from which a view is built.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     pub(crate) ready: bool,
-    pub(crate) sites: Vec<Site>,
-    /// Newest first.
+    pub(crate) services: Vec<ServiceSpec>,
+    /// Published versions with their shard maps, newest first.
     pub(crate) versions: Vec<(u64, Vec<(&'static str, &'static str)>)>,
 }
 
 impl Default for Fleet {
-    /// Version 7 is held everywhere; s1 belongs to e1, s2 to e2, s3 to e3.
+    /// Version 7 is held by all servers; s1 is owned by e1, s2 by e2, s3 by e3.
     fn default() -> Self {
         Self {
             ready: true,
-            sites: vec![
-                site("s1", ["e1", "e2", "e3"]),
-                site("s2", ["e2", "e3", "e1"]),
-                site("s3", ["e3", "e1", "e2"]),
+            services: vec![
+                service_spec("s1", ["e1", "e2", "e3"]),
+                service_spec("s2", ["e2", "e3", "e1"]),
+                service_spec("s3", ["e3", "e1", "e2"]),
             ],
             versions: vec![(7, MAP.to_vec())],
         }
@@ -52,29 +52,30 @@
 
 impl Fleet {
     /// Marks an instance as not live.
-    pub(crate) fn without(mut self, instance: &str) -> Self {
-        for site in &mut self.sites {
-            for candidate in &mut site.candidates {
+    pub(crate) fn without_instance(mut self, instance: &str) -> Self {
+        for spec in &mut self.services {
+            for candidate in &mut spec.candidates {
                 candidate.1 &= candidate.0 != instance;
             }
         }
         self
     }
 
-    /// Publishes a newer version with the usual map and lets the sites' servers hold `held`.
-    pub(crate) fn with_version(mut self, version: u64, held: [&[u64]; 3]) -> Self {
+    /// Publishes a newer version with the default shard map; the servers of each service hold the
+    /// versions in `held_versions`.
+    pub(crate) fn with_version(mut self, version: u64, held_versions: [&[u64]; 3]) -> Self {
         self.versions.insert(0, (version, MAP.to_vec()));
-        for (site, held) in self.sites.iter_mut().zip(held) {
-            site.held = vec![held.to_vec(); 2];
+        for (spec, held_versions) in self.services.iter_mut().zip(held_versions) {
+            spec.held_versions = vec![held_versions.to_vec(); 2];
         }
         self
     }
 
-    /// The view.
+    /// Builds the view.
     pub(crate) fn view(&self) -> Arc<View> {
         let mut view = View { generation: 1, revision: 1, ready: self.ready, ..View::default() };
-        for site in &self.sites {
-            view.insert(service(site));
+        for spec in &self.services {
+            view.insert(service(spec));
         }
         let versions = self.versions.iter().map(|(version, map)| index(*version, map));
         view.indexes.insert(INDEX.into(), versions.collect());
@@ -82,10 +83,10 @@
     }
 }
 
-pub(crate) fn site(name: &'static str, candidates: [&'static str; 3]) -> Site {
-    Site {
+pub(crate) fn service_spec(name: &'static str, candidates: [&'static str; 3]) -> ServiceSpec {
+    ServiceSpec {
         name,
-        held: vec![vec![7]; 2],
+        held_versions: vec![vec![7]; 2],
         leaving: vec![false; 2],
         candidates: candidates.map(|name| (name, true)).to_vec(),
         operations: vec![
@@ -117,32 +118,35 @@
     Arc::new(Index { name: INDEX.to_owned(), version, shards: shards.collect() })
 }
 
-fn service(site: &Site) -> Service {
-    let candidates = site.candidates.iter().map(|&(name, live)| Candidate {
+fn service(spec: &ServiceSpec) -> Service {
+    let candidates = spec.candidates.iter().map(|&(name, live)| Candidate {
         peer: peer(name),
         live,
         local: name == SELF,
     });
-    let servers = site.held.iter().zip(&site.leaving).enumerate();
+    let servers = spec.held_versions.iter().zip(&spec.leaving).enumerate();
     Service {
         sharers: 1,
         scarce: false,
         spare: true,
-        name: site.name.into(),
+        name: spec.name.into(),
         entry: Arc::new(Entry {
-            service: site.name.to_owned(),
-            operations: site.operations.clone(),
+            service: spec.name.to_owned(),
+            operations: spec.operations.clone(),
             ..Entry::default()
         }),
         servers: servers
-            .map(|(number, (held, &leaving))| server(site.name, number, held, leaving))
+            .map(|(number, (held_versions, &leaving))| {
+                server(spec.name, number, held_versions, leaving)
+            })
             .collect(),
         candidates: candidates.collect(),
     }
 }
 
-fn server(service: &str, number: usize, held: &[u64], leaving: bool) -> Server {
-    let holdings = held.iter().map(|&version| Holding { index: INDEX.to_owned(), version });
+fn server(service: &str, number: usize, held_versions: &[u64], leaving: bool) -> Server {
+    let holdings =
+        held_versions.iter().map(|&version| Holding { index: INDEX.to_owned(), version });
     Server {
         name: format!("{service}-{number}").into(),
         address: "127.0.0.1:9".into(),
--- a/crates/core/tests/gather/forward.rs
+++ b/crates/core/tests/gather/forward.rs
@@ -1,4 +1,4 @@
-//! Messages that are forwarded: routes, splits, sweeps with a target and a floor.
+//! Tests of forwarded messages: routes, traffic splits, and sweeps with a target time and a floor.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use ladder_core::schema::wire::{Reply, Work};
 use ladder_core::view::View;
 
-use crate::fleet::{Fleet, SELF, site};
-use crate::session::{INCARNATION, Session, answer, answers, works};
+use crate::fleet::{Fleet, SELF, service_spec};
+use crate::session::{Harness, INCARNATION, answers, only_answer, sent_work};
 
-/// The host of all routes.
+/// Host of all routes.
 const HOST: &str = "porto.example";
 
 fn route(name: &str, prefix: &str) -> Route {
@@ -35,7 +35,8 @@
     Branch { service: service.to_owned(), weight }
 }
 
-/// A sweep over three services that needs two of them, and single routes below and beside it.
+/// Builds a routing table with a sweep over three services with a floor of two, and with
+/// single-service routes.
 fn routing() -> Routing {
     let parts = ["s1", "s2", "s3"].map(str::to_owned).to_vec();
     let split = vec![branch("s1", 0.7), branch("s2", 0.2), branch("s3", 0.1)];
@@ -55,20 +56,20 @@
     }
 }
 
-/// The view of a session in which this instance may work on all services itself.
-fn view(routing: Option<Routing>) -> View {
-    let sites = ["s1", "s2", "s3"].map(|name| site(name, [SELF, "e2", "e3"])).to_vec();
-    let fleet = Fleet { sites, ..Fleet::default() };
+/// Builds a view in which this instance is a candidate for all services.
+fn view_with(routing: Option<Routing>) -> View {
+    let services = ["s1", "s2", "s3"].map(|name| service_spec(name, [SELF, "e2", "e3"])).to_vec();
+    let fleet = Fleet { services, ..Fleet::default() };
     let routing = routing.map(|routing| Arc::new(Table::new(&routing)));
     View { routing, ..View::clone(&fleet.view()) }
 }
 
-/// A session with this view.
-fn session(routing: Option<Routing>) -> Session {
-    let mut session = Session::new(&Fleet::default());
-    let view = View { generation: 2, ..view(routing) };
-    session.give(Event::View(Arc::new(view)));
-    session
+/// Creates a harness with the view of `view_with`.
+fn harness_with(routing: Option<Routing>) -> Harness {
+    let mut harness = Harness::new(&Fleet::default());
+    let view = View { generation: 2, ..view_with(routing) };
+    harness.deliver(Event::View(Arc::new(view)));
+    harness
 }
 
 fn message(host: &str, target: &str) -> Request {
@@ -86,7 +87,7 @@
     }
 }
 
-/// The reply that covers the portion of `service` with this body.
+/// Builds the reply that covers the portion of `service` with this response body.
 pub(crate) fn reply(work: &Work, service: &str, body: &[u8]) -> Reply {
     let response = Response {
         status: 200,
@@ -110,34 +111,35 @@
     }
 }
 
-/// The reply that refuses the portion of `service` without having run it.
-fn refused(work: &Work, service: &str) -> Reply {
+/// Builds the reply that refuses the portion of `service` because the server is overloaded,
+/// without having run it.
+fn refusal_reply(work: &Work, service: &str) -> Reply {
     let reason = Reason::TargetShed.into();
     let verdict = Verdict::NotRun.into();
     Reply { verdict, reason, parts: Vec::new(), ..reply(work, service, b"") }
 }
 
-/// Records, each of one kind of byte.
+/// Builds records of 16 bytes each, one for each of `bytes`.
 pub(crate) fn records(bytes: &[u8]) -> Vec<u8> {
     bytes.iter().flat_map(|byte| [*byte; 16]).collect()
 }
 
-/// Sends the sweep; gives the work.
-fn sweep(session: &mut Session) -> Work {
-    works(&session.call(message(HOST, "/docks/all"))).remove(0).1
+/// Starts the sweep and returns the work message.
+fn start_sweep(harness: &mut Harness) -> Work {
+    sent_work(&harness.call(message(HOST, "/docks/all"))).remove(0).1
 }
 
-/// What a message asks for and where it goes.
+/// A message with the services that it must be sent to.
 struct Case {
     host: &'static str,
     target: &'static str,
     services: &'static [&'static str],
 }
 
-/// A cyclist's lookup must reach the service that the operators' newest routes name: that of the
-/// longest prefix on its host, whatever port or query stands in it.
+/// Guards against sending a message to a service other than that of the route with the longest
+/// matching prefix on the message's host, regardless of its port and query string.
 #[test]
-fn route_of_a_message() {
+fn longest_matching_prefix_selects_route() {
     let all = &["s1", "s2", "s3"];
     let cases = [
         Case { host: HOST, target: "/docks/all", services: all },
@@ -149,16 +151,16 @@
         Case { host: "other.example", target: "/docks/all", services: &[] },
     ];
     for case in cases {
-        let mut session = session(Some(routing()));
-        let actions = session.call(message(case.host, case.target));
-        let sent: Vec<String> = works(&actions)
+        let mut harness = harness_with(Some(routing()));
+        let actions = harness.call(message(case.host, case.target));
+        let sent: Vec<String> = sent_work(&actions)
             .iter()
             .flat_map(|(_, work)| &work.portions)
             .map(|portion| portion.service.clone())
             .collect();
         assert_eq!(sent, case.services, "{} {}", case.host, case.target);
         if case.services.is_empty() {
-            let answer = answer(&actions);
+            let answer = only_answer(&actions);
             assert_eq!(
                 (answer.verdict(), answer.reason()),
                 (Verdict::NotRun, Reason::UnknownRoute)
@@ -167,170 +169,188 @@
     }
 }
 
-/// An instance that has just started knows no routes yet. "No such route" would be untrue and would
-/// keep callers from coming back; it says that it is not ready, and when to try again.
+/// Guards against refusing a message with "no such route" while the instance has not received the
+/// routing table yet, since callers would not retry. The refusal must be "not ready" with a retry
+/// delay.
 #[test]
-fn unknown_routes_are_not_missing_routes() {
-    let mut session = session(None);
-    let answer = answer(&session.call(message(HOST, "/docks/all")));
+fn missing_routing_table_is_reported_as_not_ready() {
+    let mut harness = harness_with(None);
+    let answer = only_answer(&harness.call(message(HOST, "/docks/all")));
     assert_eq!((answer.verdict(), answer.reason()), (Verdict::NotRun, Reason::NotReady));
     assert!(answer.retry_after_ms > 0);
 }
 
-/// Operators move a part of the traffic to another service. At every moment each service has got its
-/// part within one message, also at few messages a second.
+/// Guards against deviations of more than one message from the weights of a traffic split, at any
+/// time and also at few messages a second.
 #[test]
-fn split_holds_its_weights() {
-    let mut session = session(Some(routing()));
+fn split_stays_within_one_message_of_weights() {
+    let mut harness = harness_with(Some(routing()));
     let mut counts = [0_u32; 3];
     for sent in 1..=300_u32 {
-        let work = works(&session.call(message(HOST, "/split/x"))).remove(0).1;
+        let work = sent_work(&harness.call(message(HOST, "/split/x"))).remove(0).1;
         let service = &work.portions[0].service;
-        let place = ["s1", "s2", "s3"].iter().position(|name| name == service).expect("a branch");
-        counts[place] += 1;
+        let index = ["s1", "s2", "s3"].iter().position(|name| name == service).expect("a branch");
+        counts[index] += 1;
         for (count, weight) in counts.iter().zip([0.7, 0.2, 0.1]) {
-            let owed = f64::from(sent) * weight;
-            assert!((f64::from(*count) - owed).abs() <= 1.0, "{counts:?} after {sent}");
+            let expected = f64::from(sent) * weight;
+            assert!((f64::from(*count) - expected).abs() <= 1.0, "{counts:?} after {sent}");
         }
     }
 }
 
-/// A sweep answers with the greatest records over all its parts, each as often as it stands there,
-/// and names the signature of each part.
+/// A sweep's response must contain the greatest records of all parts, including duplicates, and
+/// the answer must list the signature of each part.
 #[test]
-fn sweep_merges_the_greatest_records() {
-    let mut session = session(Some(routing()));
-    let work = sweep(&mut session);
-    session.reply(SELF, reply(&work, "s1", &records(&[1, 9])));
-    session.reply(SELF, reply(&work, "s3", &[records(&[9, 2]), vec![255; 7]].concat()));
-    let answer = answer(&session.reply(SELF, reply(&work, "s2", &records(&[3]))));
+fn sweep_response_contains_greatest_records() {
+    let mut harness = harness_with(Some(routing()));
+    let work = start_sweep(&mut harness);
+    harness.reply(SELF, reply(&work, "s1", &records(&[1, 9])));
+    harness.reply(SELF, reply(&work, "s3", &[records(&[9, 2]), vec![255; 7]].concat()));
+    let answer = only_answer(&harness.reply(SELF, reply(&work, "s2", &records(&[3]))));
     let response = answer.response.expect("a merged response");
     assert_eq!(response.body, records(&[9, 9, 3]));
     assert_eq!(answer.stamps, ["signed by s1", "signed by s2", "signed by s3"]);
     assert!(answer.missing.is_empty());
 }
 
-/// One server of a sweep stands still. An answer that waits for it is late and worth a tenth; with
-/// the floor reached, the sweep answers before its target time and says what is missing.
+/// Guards against late answers when one server of a sweep does not respond: a late answer is worth
+/// a tenth. Once the floor is reached, the sweep must answer before its target time and list what
+/// is missing.
 #[test]
-fn sweep_answers_at_its_target_with_the_floor() {
-    let mut session = session(Some(routing()));
-    let work = sweep(&mut session);
-    session.reply(SELF, reply(&work, "s1", &records(&[1])));
-    session.reply(SELF, reply(&work, "s2", &records(&[2])));
-    assert!(answers(&session.pass(80)).is_empty(), "there is time for the third part");
-    let answer = answer(&session.pass(12));
+fn sweep_answers_at_target_if_floor_is_reached() {
+    let mut harness = harness_with(Some(routing()));
+    let work = start_sweep(&mut harness);
+    harness.reply(SELF, reply(&work, "s1", &records(&[1])));
+    harness.reply(SELF, reply(&work, "s2", &records(&[2])));
+    assert!(answers(&harness.advance(80)).is_empty(), "there is time for the third part");
+    let answer = only_answer(&harness.advance(12));
     assert_eq!(answer.stamps, ["signed by s1", "signed by s2"]);
     assert_eq!(answer.missing.len(), 1);
     assert!(answer.response.is_some());
 }
 
-/// Too few parts are in at the target time. A late answer is better than none: the sweep goes on and
-/// answers at the moment at which the floor is reached.
+/// If too few parts have arrived at the target time, the sweep must continue and answer as soon as
+/// the floor is reached: a late answer is better than none.
 #[test]
-fn sweep_below_its_floor_goes_on() {
-    let mut session = session(Some(routing()));
-    let work = sweep(&mut session);
-    session.reply(SELF, reply(&work, "s1", &records(&[1])));
-    assert!(answers(&session.pass(200)).is_empty());
-    let answer = answer(&session.reply(SELF, reply(&work, "s2", &records(&[2]))));
+fn sweep_below_floor_waits_past_target() {
+    let mut harness = harness_with(Some(routing()));
+    let work = start_sweep(&mut harness);
+    harness.reply(SELF, reply(&work, "s1", &records(&[1])));
+    assert!(answers(&harness.advance(200)).is_empty());
+    let answer = only_answer(&harness.reply(SELF, reply(&work, "s2", &records(&[2]))));
     assert!(answer.response.is_some());
     assert_eq!(answer.missing.len(), 1);
 }
 
-/// What the owner of the last part says when the sweep is taken back, two of three parts being refused.
-struct Withdrawal {
+/// The reply of the last part's owner after the sweep was withdrawn because two of its three parts
+/// were refused.
+struct WithdrawalCase {
     name: &'static str,
-    last: Option<fn(&Work) -> Reply>,
+    last_reply: Option<fn(&Work) -> Reply>,
     verdict: Verdict,
 }
 
-fn taken_back(work: &Work, verdict: Verdict) -> Reply {
+fn cancelled_reply(work: &Work, verdict: Verdict) -> Reply {
     let (verdict, reason) = (verdict.into(), Reason::Cancelled.into());
     Reply { verdict, reason, parts: Vec::new(), ..reply(work, "s3", b"") }
 }
 
-/// Guards against telling a caller that a request may have run of which no server got anything.
+/// Guards against telling a caller that its request may have run although no server received any
+/// part.
 #[test]
-fn hopeless_sweep_is_taken_back_before_it_is_refused() {
+fn unreachable_floor_cancels_portions_before_refusal() {
     let cases = [
-        Withdrawal {
-            name: "it sent nothing",
-            last: Some(|work| taken_back(work, Verdict::NotRun)),
+        WithdrawalCase {
+            name: "the owner sent nothing to a server",
+            last_reply: Some(|work| cancelled_reply(work, Verdict::NotRun)),
             verdict: Verdict::NotRun,
         },
-        Withdrawal {
-            name: "it reaches no server either",
-            last: Some(|work| Reply {
+        WithdrawalCase {
+            name: "the owner reaches no server",
+            last_reply: Some(|work| Reply {
                 reason: Reason::ConnectFailed.into(),
-                ..taken_back(work, Verdict::NotRun)
+                ..cancelled_reply(work, Verdict::NotRun)
             }),
             verdict: Verdict::NotRun,
         },
-        Withdrawal {
-            name: "it is at a server",
-            last: Some(|work| taken_back(work, Verdict::MayHaveRun)),
+        WithdrawalCase {
+            name: "the owner sent it to a server",
+            last_reply: Some(|work| cancelled_reply(work, Verdict::MayHaveRun)),
             verdict: Verdict::MayHaveRun,
         },
-        Withdrawal {
-            name: "it answers meanwhile",
-            last: Some(|work| reply(work, "s3", &records(&[1]))),
+        WithdrawalCase {
+            name: "the owner covers the portion",
+            last_reply: Some(|work| reply(work, "s3", &records(&[1]))),
             verdict: Verdict::Ran,
         },
-        Withdrawal { name: "it says nothing", last: None, verdict: Verdict::MayHaveRun },
+        WithdrawalCase {
+            name: "the owner does not reply",
+            last_reply: None,
+            verdict: Verdict::MayHaveRun,
+        },
     ];
-    for Withdrawal { name, last, verdict } in cases {
-        let mut session = session(Some(routing()));
-        let work = sweep(&mut session);
-        assert!(answers(&session.reply(SELF, refused(&work, "s1"))).is_empty());
-        let actions = session.reply(SELF, refused(&work, "s2"));
-        assert!(answers(&actions).is_empty(), "{name}: its word is waited for");
+    for WithdrawalCase { name, last_reply, verdict } in cases {
+        let mut harness = harness_with(Some(routing()));
+        let work = start_sweep(&mut harness);
+        assert!(answers(&harness.reply(SELF, refusal_reply(&work, "s1"))).is_empty());
+        let actions = harness.reply(SELF, refusal_reply(&work, "s2"));
+        assert!(answers(&actions).is_empty(), "{name}: the owner is awaited");
         assert!(actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{name}");
-        let account = session.machine.explain("key of /docks/all").expect("an account");
+        let account = harness.machine.explain("key of /docks/all").expect("a history");
         let withdrawn =
             account.steps.iter().any(|stamp| matches!(stamp.step, Step::Withdrawn { portions: 1 }));
-        assert!(withdrawn, "{name}: its account says so");
-        let actions = match last {
-            Some(last) => session.reply(SELF, last(&work)),
-            None => session.pass(20),
+        assert!(withdrawn, "{name}: the history has the step");
+        let actions = match last_reply {
+            Some(last_reply) => harness.reply(SELF, last_reply(&work)),
+            None => harness.advance(20),
         };
-        let answer = answer(&actions);
+        let answer = only_answer(&actions);
         assert_eq!(answer.verdict(), verdict, "{name}");
         assert!(answer.response.is_none(), "{name}");
     }
 }
 
-/// Guards against waiting for an owner's word that cannot change what the caller is told.
+/// Guards against waiting for an owner's confirmation that cannot change the verdict for the
+/// caller.
 #[test]
-fn hopeless_sweep_of_which_something_ran_ends_at_once() {
-    let mut session = session(Some(routing()));
-    let work = sweep(&mut session);
-    let lost = Reply { verdict: Verdict::MayHaveRun.into(), ..refused(&work, "s1") };
-    assert!(answers(&session.reply(SELF, lost)).is_empty());
-    let actions = session.reply(SELF, refused(&work, "s2"));
-    assert_eq!(answer(&actions).verdict(), Verdict::MayHaveRun);
+fn partly_run_sweep_with_unreachable_floor_ends_immediately() {
+    let mut harness = harness_with(Some(routing()));
+    let work = start_sweep(&mut harness);
+    let lost = Reply { verdict: Verdict::MayHaveRun.into(), ..refusal_reply(&work, "s1") };
+    assert!(answers(&harness.reply(SELF, lost)).is_empty());
+    let actions = harness.reply(SELF, refusal_reply(&work, "s2"));
+    assert_eq!(only_answer(&actions).verdict(), Verdict::MayHaveRun);
     assert!(actions.iter().any(|action| matches!(action, Action::Cancel { .. })));
 }
 
-/// Services whose servers may receive nothing, and what then becomes of a sweep that needs two of three.
-struct Reach {
+/// Services whose servers may receive no work, and the outcome of a sweep that needs two of three
+/// services.
+struct ReachabilityCase {
     evacuated: &'static [&'static str],
     leaving: &'static [&'static str],
     refused: Option<Reason>,
 }
 
-/// Guards against asking for parts of a sweep whose floor is known to be out of reach.
+/// Guards against sending parts of a sweep whose floor is known to be unreachable.
 #[test]
-fn sweep_out_of_reach_is_refused_before_anything_is_sent() {
+fn unreachable_sweep_is_refused_before_sending() {
     let cases = [
-        Reach { evacuated: &["s1"], leaving: &[], refused: None },
-        Reach { evacuated: &["s1", "s2"], leaving: &[], refused: Some(Reason::Evacuated) },
-        Reach { evacuated: &["s1"], leaving: &["s3"], refused: Some(Reason::Evacuated) },
-        Reach { evacuated: &[], leaving: &["s2", "s3"], refused: Some(Reason::NoServer) },
+        ReachabilityCase { evacuated: &["s1"], leaving: &[], refused: None },
+        ReachabilityCase {
+            evacuated: &["s1", "s2"],
+            leaving: &[],
+            refused: Some(Reason::Evacuated),
+        },
+        ReachabilityCase { evacuated: &["s1"], leaving: &["s3"], refused: Some(Reason::Evacuated) },
+        ReachabilityCase {
+            evacuated: &[],
+            leaving: &["s2", "s3"],
+            refused: Some(Reason::NoServer),
+        },
     ];
     for case in cases {
-        let mut session = session(Some(routing()));
-        let mut view = View { generation: 3, ..view(Some(routing())) };
+        let mut harness = harness_with(Some(routing()));
+        let mut view = View { generation: 3, ..view_with(Some(routing())) };
         for service in view.services.values_mut() {
             let service = Arc::make_mut(service);
             for server in &mut service.servers {
@@ -338,52 +358,54 @@
                 server.leaving = case.leaving.contains(&&*service.name);
             }
         }
-        session.give(Event::View(Arc::new(view)));
-        let actions = session.call(message(HOST, "/docks/all"));
+        harness.deliver(Event::View(Arc::new(view)));
+        let actions = harness.call(message(HOST, "/docks/all"));
         match case.refused {
-            None => assert_eq!(works(&actions).len(), 1),
+            None => assert_eq!(sent_work(&actions).len(), 1),
             Some(reason) => {
-                let answer = answer(&actions);
+                let answer = only_answer(&actions);
                 assert_eq!((answer.verdict(), answer.reason()), (Verdict::NotRun, reason));
-                assert!(works(&actions).is_empty());
+                assert!(sent_work(&actions).is_empty());
                 assert!(answer.retry_after_ms > 0);
             }
         }
     }
 }
 
-/// A sweep that ends below its floor has parts, but no answer may be made of them.
+/// Guards against building a response from the parts of a sweep that ends below its floor.
 #[test]
-fn sweep_never_answers_below_its_floor() {
-    let mut session = session(Some(routing()));
-    let work = sweep(&mut session);
-    session.reply(SELF, reply(&work, "s1", &records(&[1])));
-    let answer = answer(&session.pass(400));
+fn sweep_below_floor_gets_no_response() {
+    let mut harness = harness_with(Some(routing()));
+    let work = start_sweep(&mut harness);
+    harness.reply(SELF, reply(&work, "s1", &records(&[1])));
+    let answer = only_answer(&harness.advance(400));
     assert!(answer.response.is_none());
-    assert_ne!(answer.verdict(), Verdict::NotRun, "a part of it ran");
+    assert_ne!(answer.verdict(), Verdict::NotRun, "a part ran");
 }
 
-/// The time that a message may take is the least of what its caller waits and what its route allows.
+/// The time available for a message must be the minimum of the caller's deadline and the route's
+/// timeout.
 #[test]
-fn least_of_deadline_and_timeout() {
+fn budget_is_minimum_of_deadline_and_timeout() {
     for (deadline_ms, most_ms) in [(400, 400), (0, 600), (5000, 600)] {
-        let mut session = session(Some(routing()));
+        let mut harness = harness_with(Some(routing()));
         let request = Request { deadline_ms, ..message(HOST, "/docks/free/4") };
-        let work = works(&session.call(request)).remove(0).1;
+        let work = sent_work(&harness.call(request)).remove(0).1;
         let budget_ms = work.budget_us / 1000;
         assert!((most_ms * 8 / 10..most_ms).contains(&budget_ms), "{budget_ms} of {most_ms}");
-        let answers: Vec<Answer> = answers(&session.pass(most_ms));
-        assert_eq!(answers.len(), 1, "a final answer by then");
+        let answers: Vec<Answer> = answers(&harness.advance(most_ms));
+        assert_eq!(answers.len(), 1, "a final answer by the time limit");
     }
 }
 
-/// A server's own response to a single message is passed on as it is, with its signature.
+/// A server's response to a single-service message must be passed on unchanged, including its
+/// signature.
 #[test]
-fn single_response_is_passed_on() {
-    let mut session = session(Some(routing()));
-    let work = works(&session.call(message(HOST, "/once/7"))).remove(0).1;
+fn single_response_is_passed_on_unchanged() {
+    let mut harness = harness_with(Some(routing()));
+    let work = sent_work(&harness.call(message(HOST, "/once/7"))).remove(0).1;
     assert!(work.unrepeatable);
-    let answer = answer(&session.reply(SELF, reply(&work, "s1", b"booked")));
+    let answer = only_answer(&harness.reply(SELF, reply(&work, "s1", b"booked")));
     let response = answer.response.expect("the server's response");
     assert_eq!((response.status, &response.body[..]), (200, &b"booked"[..]));
     assert!(answer.stamps.is_empty());
--- a/crates/core/tests/gather/full.rs
+++ b/crates/core/tests/gather/full.rs
@@ -1,26 +1,28 @@
-//! What an instance does that holds as much as it may.
+//! Test of an instance at its limit of open queries.
 
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::Fleet;
-use crate::session::{Session, answer, request, works};
+use crate::session::{Harness, only_answer, request, sent_work};
 
-/// Callers of every service get no answer, since one instance after another runs out of memory.
+/// Guards against running out of memory when one service is stuck and its callers wait for their
+/// deadlines.
 ///
-/// One service is stuck; callers keep coming and wait out their deadlines. The cause is that an
-/// instance takes any number of requests: beyond a bound it has to refuse, and say when to return.
+/// An instance that accepted any number of requests would fail, and the next ones after it, so
+/// that callers of all services would get no answer. Beyond the limit, an instance must refuse
+/// with a retry delay.
 #[test]
-fn full_instance_refuses_with_advice() {
-    const OPEN: usize = 10_000;
-    let mut session = Session::new(&Fleet::default());
-    for number in 0..OPEN {
-        let out = session.call(request(&format!("k{number}"), "check", &["c"]));
-        assert!(!works(&out).is_empty(), "request {number} is taken");
+fn full_instance_refuses_with_retry_delay() {
+    const MAX_OPEN_QUERIES: usize = 10_000;
+    let mut harness = Harness::new(&Fleet::default());
+    for number in 0..MAX_OPEN_QUERIES {
+        let out = harness.call(request(&format!("k{number}"), "check", &["c"]));
+        assert!(!sent_work(&out).is_empty(), "request {number} is taken");
     }
-    let out = session.call(request("one too many", "check", &["c"]));
-    let answer = answer(&out);
+    let out = harness.call(request("one too many", "check", &["c"]));
+    let answer = only_answer(&out);
     assert_eq!(answer.verdict(), Verdict::NotRun);
     assert_eq!(answer.reason(), Reason::QueueFull);
     assert!(answer.retry_after_ms > 0);
-    assert_eq!(session.machine.open(), OPEN);
+    assert_eq!(harness.machine.open(), MAX_OPEN_QUERIES);
 }
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/near.rs
@@ -1,4 +1,4 @@
-//! Parts of sweeps that peers collect near their servers.
+//! Tests of parts of sweeps that peers aggregate near the servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,40 +16,40 @@
 
 use crate::fleet::{SELF, peer};
 use crate::forward;
-use crate::session::{INCARNATION, Session, answer, answers, dropped, works};
+use crate::session::{Harness, INCARNATION, answers, drop_count, only_answer, sent_work};
 
 /// Zone of the instance under test.
-pub(crate) const HERE: &str = "trindade";
-/// Version of the routes.
+pub(crate) const LOCAL_ZONE: &str = "trindade";
+/// Version of the routing table.
 const VERSION: u64 = 7;
 
-/// What a case's view holds.
+/// Contents of the view of a test case.
 #[derive(Clone)]
-pub(crate) struct Place {
+pub(crate) struct ViewFixture {
     /// Zones of the servers of each part.
     pub(crate) parts: Vec<Vec<&'static str>>,
-    /// Settled peers with their zones.
+    /// Peers with their zones.
     pub(crate) peers: Vec<(&'static str, &'static str)>,
-    /// Thousandths of a processor core of each of them, and of this instance.
+    /// Processor capacity of the peers and of this instance, in thousandths of a core.
     pub(crate) millicores: Map<&'static str, u32>,
     pub(crate) version: u64,
     pub(crate) unrepeatable: bool,
-    /// The servers' connections don't suffice for every instance.
+    /// Whether the servers have too few connections for every instance to call them.
     pub(crate) scarce: bool,
-    /// Zone to whose servers nothing may be sent.
+    /// Zone that is evacuated, so that nothing may be sent to its servers.
     pub(crate) evacuated: &'static str,
-    /// Regions whose servers may get the routes' messages; none: all.
+    /// Regions to whose servers the routes' messages may be sent; if empty, all regions.
     pub(crate) homes: Vec<&'static str>,
 }
 
-impl Default for Place {
-    /// Six parts, three of them without a server here, and a peer in each zone.
+impl Default for ViewFixture {
+    /// Six parts, three of them without a server in the local zone, and a peer in each zone.
     fn default() -> Self {
-        let near = vec![vec!["campanha", HERE]; 3];
+        let near = vec![vec!["campanha", LOCAL_ZONE]; 3];
         let far = vec![vec!["campanha", "sao-bento"]; 3];
         Self {
             parts: [near, far].concat(),
-            peers: vec![("e2", "campanha"), ("e3", "sao-bento"), ("e4", HERE)],
+            peers: vec![("e2", "campanha"), ("e3", "sao-bento"), ("e4", LOCAL_ZONE)],
             millicores: Map::default(),
             version: VERSION,
             unrepeatable: false,
@@ -60,19 +60,19 @@
     }
 }
 
-fn names(parts: usize) -> Vec<String> {
+fn service_names(parts: usize) -> Vec<String> {
     (1..=parts).map(|number| format!("s{number}")).collect()
 }
 
-fn service(name: &str, zones: &[&str], place: &Place) -> Service {
-    let scarce = place.scarce;
+fn service(name: &str, zones: &[&str], fixture: &ViewFixture) -> Service {
+    let scarce = fixture.scarce;
     let server = |(number, zone): (usize, &&str)| Server {
         name: format!("{name}-{number}").into(),
         address: "127.0.0.1:9".into(),
         zone: (*zone).into(),
         incarnation: 1,
         leaving: false,
-        evacuated: **zone == *place.evacuated,
+        evacuated: **zone == *fixture.evacuated,
         warmup: Duration::ZERO,
         slots: 2,
         share: 4,
@@ -89,10 +89,10 @@
     }
 }
 
-impl Place {
+impl ViewFixture {
     fn view(&self) -> Event {
         let mut view = View { generation: 1, ready: true, ..View::default() };
-        let parts = names(self.parts.len());
+        let parts = service_names(self.parts.len());
         for (name, zones) in parts.iter().zip(&self.parts) {
             view.insert(service(name, zones, self));
         }
@@ -123,18 +123,19 @@
             millicores: self.millicores.get(name).copied().unwrap_or(0),
         };
         view.neighbours = self.peers.iter().map(neighbour).collect();
-        let regions = [(HERE, "north"), ("campanha", "south"), ("sao-bento", "south")];
+        let regions = [(LOCAL_ZONE, "north"), ("campanha", "south"), ("sao-bento", "south")];
         let regions = regions.map(|(zone, region)| (zone.into(), region.into()));
         view.regions = Arc::new(regions.into_iter().collect());
         Event::View(Arc::new(view))
     }
 
-    pub(crate) fn session(&self) -> Session {
+    pub(crate) fn harness(&self) -> Harness {
         let own = self.millicores.get(SELF).copied().unwrap_or(1000);
-        let settings = Settings::builder(SELF, INCARNATION).near(HERE).millicores(own).build();
-        let mut session = Session::with(settings);
-        session.give(self.view());
-        session
+        let settings =
+            Settings::builder(SELF, INCARNATION).near(LOCAL_ZONE).millicores(own).build();
+        let mut harness = Harness::with(settings);
+        harness.deliver(self.view());
+        harness
     }
 }
 
@@ -154,35 +155,37 @@
     message(key, "/docks/all", 0)
 }
 
-/// Parts that go to peers, by peer, for one sweep.
-fn collectors(actions: &[Action]) -> Vec<(Arc<str>, Vec<String>)> {
-    let works = works(actions).into_iter().filter(|(to, _)| **to != *SELF);
+/// Returns the parts of one sweep that are sent to peers, by peer.
+fn parts_at_peers(actions: &[Action]) -> Vec<(Arc<str>, Vec<String>)> {
+    let works = sent_work(actions).into_iter().filter(|(to, _)| **to != *SELF);
     let parts = works.map(|(to, work)| {
-        assert!(work.collect.is_some(), "what goes to {to} is collected");
+        assert!(work.collect.is_some(), "work for {to} must be aggregated");
         (to, work.portions.into_iter().map(|portion| portion.service).collect())
     });
     parts.collect()
 }
 
-/// A sweep under way: what goes to the peer, and what stays.
-fn started(session: &mut Session, key: &str) -> (Arc<str>, Work, Work) {
-    let works = works(&session.call(sweep(key)));
+/// Starts a sweep; returns the peer that aggregates, its work message and this instance's own work
+/// message.
+fn start_sweep(harness: &mut Harness, key: &str) -> (Arc<str>, Work, Work) {
+    let works = sent_work(&harness.call(sweep(key)));
     let (near, far): (Vec<_>, Vec<_>) = works.into_iter().partition(|(to, _)| **to == *SELF);
-    let [(_, here)] = &near[..] else {
-        panic!("one message to itself: {near:?}");
+    let [(_, local)] = &near[..] else {
+        panic!("one message to this instance: {near:?}");
     };
-    let [(to, there)] = &far[..] else {
+    let [(to, remote)] = &far[..] else {
         panic!("one message to a peer: {far:?}");
     };
-    (Arc::clone(to), there.clone(), here.clone())
+    (Arc::clone(to), remote.clone(), local.clone())
 }
 
-/// The reply that covers a part with records of these bytes.
+/// Builds the reply that covers a part with records of these bytes.
 fn reply(work: &Work, service: &str, bytes: &[u8]) -> Reply {
     forward::reply(work, service, &forward::records(bytes))
 }
 
-/// The replies to all portions of the work, merged into the first.
+/// Builds the replies to all portions of a work message, with the records merged into the first
+/// one.
 fn merged(work: &Work, bytes: &[u8]) -> Vec<Reply> {
     let count = work.portions.len() as u32;
     let replies = work.portions.iter().enumerate().map(|(at, portion)| {
@@ -193,309 +196,348 @@
     replies.collect()
 }
 
-pub(crate) fn refused(work: &Work, service: &str, reason: Reason) -> Reply {
+pub(crate) fn refusal_reply(work: &Work, service: &str, reason: Reason) -> Reply {
     let (verdict, reason) = (Verdict::NotRun.into(), reason.into());
     Reply { verdict, reason, parts: Vec::new(), ..reply(work, service, &[]) }
 }
 
-pub(crate) fn tell(session: &mut Session, from: &str, replies: Vec<Reply>) -> Vec<Action> {
-    session.give(Event::Replies { from: from.into(), replies })
+pub(crate) fn deliver_replies(
+    harness: &mut Harness,
+    from: &str,
+    replies: Vec<Reply>,
+) -> Vec<Action> {
+    harness.deliver(Event::Replies { from: from.into(), replies })
 }
 
-/// Each near part answers with one record of this byte.
-fn tell_near(session: &mut Session, work: &Work, byte: u8) -> Vec<Action> {
+/// Covers each part of the local work message with one record of this byte.
+fn answer_local_parts(harness: &mut Harness, work: &Work, byte: u8) -> Vec<Action> {
     let replies = work.portions.iter().map(|portion| reply(work, &portion.service, &[byte]));
     let replies = replies.collect();
-    tell(session, SELF, replies)
+    deliver_replies(harness, SELF, replies)
 }
 
-/// The first byte of each record of an answer.
+/// Returns the first byte of each record of a response.
 fn records(response: Option<Response>) -> Vec<u8> {
     let body = response.expect("a response").body;
     body.chunks_exact(16).map(|record| record[0]).collect()
 }
 
-/// Who is to collect what.
-struct Division {
-    story: &'static str,
-    place: Place,
+/// A sweep with the peers that must receive its parts.
+struct AssignmentCase {
+    name: &'static str,
+    fixture: ViewFixture,
     request: Request,
-    /// Parts that go to peers, of three sweeps one after the other.
+    /// Parts that must be sent to peers, by peer, over three consecutive sweeps.
     parts: &'static [(&'static str, &'static [&'static str])],
 }
 
-fn parts(parts: Vec<Vec<&'static str>>) -> Place {
-    Place { parts, ..Place::default() }
+fn with_parts(parts: Vec<Vec<&'static str>>) -> ViewFixture {
+    ViewFixture { parts, ..ViewFixture::default() }
 }
 
-fn divided(
-    story: &'static str,
-    place: Place,
+fn assignment(
+    name: &'static str,
+    fixture: ViewFixture,
     parts: &'static [(&'static str, &'static [&'static str])],
-) -> Division {
-    Division { story, place, request: sweep("k"), parts }
+) -> AssignmentCase {
+    AssignmentCase { name, fixture, request: sweep("k"), parts }
 }
 
-fn divisions() -> Vec<Division> {
-    const FIRST: &[&str] = &["s1", "s2", "s3"];
-    const FAR: &[&str] = &["s4", "s5", "s6"];
-    const ALL: &[&str] = &["s1", "s2", "s3", "s4", "s5", "s6"];
-    const FOUR: &[&str] = &["s1", "s2", "s3", "s4"];
+fn assigned_cases() -> Vec<AssignmentCase> {
+    const FIRST_THREE: &[&str] = &["s1", "s2", "s3"];
+    const LAST_THREE: &[&str] = &["s4", "s5", "s6"];
+    const ALL_PARTS: &[&str] = &["s1", "s2", "s3", "s4", "s5", "s6"];
+    const FIRST_FOUR: &[&str] = &["s1", "s2", "s3", "s4"];
     let all_far = vec![vec!["campanha"]; 6];
     let split = [vec![vec!["campanha"]; 3], vec![vec!["sao-bento"]; 3]].concat();
     let uneven = [vec![vec!["campanha"]; 4], vec![vec!["sao-bento"]; 2]].concat();
-    let two = vec![("e2", "campanha"), ("e3", "campanha")];
-    let one_zone = Place { peers: two.clone(), ..Place::default() };
-    let two_groups = Place { peers: two, ..parts(vec![vec!["campanha"]; 6]) };
+    let two_peers = vec![("e2", "campanha"), ("e3", "campanha")];
+    let one_zone = ViewFixture { peers: two_peers.clone(), ..ViewFixture::default() };
+    let two_groups = ViewFixture { peers: two_peers, ..with_parts(vec![vec!["campanha"]; 6]) };
     vec![
-        divided("zones are as good as each other", Place::default(), &[("e2", FAR); 3]),
-        divided("peers are, too", one_zone, &[("e2", FAR); 3]),
-        divided(
-            "the peers of groups take turns",
+        assignment(
+            "parts without a local server go to one peer",
+            ViewFixture::default(),
+            &[("e2", LAST_THREE); 3],
+        ),
+        assignment("two peers in one zone", one_zone, &[("e2", LAST_THREE); 3]),
+        assignment(
+            "the peers of two groups alternate",
             two_groups,
-            &[("e3", ALL), ("e2", ALL), ("e3", ALL)],
+            &[("e3", ALL_PARTS), ("e2", ALL_PARTS), ("e3", ALL_PARTS)],
         ),
-        divided("no server here", parts(all_far), &[("e2", ALL); 3]),
-        divided(
+        assignment(
+            "no server here in the local zone",
+            with_parts(all_far),
+            &[("e2", ALL_PARTS); 3],
+        ),
+        assignment(
             "two zones have three each",
-            parts(split),
-            &[("e2", FIRST), ("e3", FAR), ("e2", FIRST), ("e3", FAR), ("e2", FIRST), ("e3", FAR)],
+            with_parts(split),
+            &[
+                ("e2", FIRST_THREE),
+                ("e3", LAST_THREE),
+                ("e2", FIRST_THREE),
+                ("e3", LAST_THREE),
+                ("e2", FIRST_THREE),
+                ("e3", LAST_THREE),
+            ],
         ),
-        divided("the rest is too little", parts(uneven), &[("e2", FOUR); 3]),
+        assignment("two remaining parts are too few", with_parts(uneven), &[("e2", FIRST_FOUR); 3]),
     ]
 }
 
-/// What stays with the instance that the caller reached.
-fn undivided() -> Vec<Division> {
-    let near = parts(vec![vec![HERE, "campanha"]; 6]);
-    let few = parts(vec![vec!["campanha"]; 2]);
-    let alone = Place { peers: vec![("e4", HERE)], ..Place::default() };
-    let once = Place { unrepeatable: true, ..Place::default() };
-    let asks = |story, request| Division { request, ..divided(story, Place::default(), &[]) };
+/// Returns the cases in which this instance must call all servers itself.
+fn unassigned_cases() -> Vec<AssignmentCase> {
+    let near = with_parts(vec![vec![LOCAL_ZONE, "campanha"]; 6]);
+    let few = with_parts(vec![vec!["campanha"]; 2]);
+    let peers_only_in_local_zone =
+        ViewFixture { peers: vec![("e4", LOCAL_ZONE)], ..ViewFixture::default() };
+    let non_idempotent = ViewFixture { unrepeatable: true, ..ViewFixture::default() };
+    let local_request =
+        |name, request| AssignmentCase { request, ..assignment(name, ViewFixture::default(), &[]) };
     vec![
-        divided("all here", near, &[]),
-        divided("few parts", few, &[]),
-        divided("nobody there", alone, &[]),
-        divided("may not be repeated", once, &[]),
-        asks("one server", message("k", "/permit/1", 0)),
-        asks("a long body", message("k", "/docks/all", 16 * 1024 + 1)),
+        assignment("all servers here", near, &[]),
+        assignment("few parts", few, &[]),
+        assignment("no peer in the zones of the servers", peers_only_in_local_zone, &[]),
+        assignment("non-idempotent", non_idempotent, &[]),
+        local_request("one service", message("k", "/permit/1", 0)),
+        local_request("a long body", message("k", "/docks/all", 16 * 1024 + 1)),
     ]
 }
 
-/// Requests and responses of the parts without a server in the caller's zone all cross between
-/// zones. One peer that stands near their servers collects them, where there are many in turn with
-/// others; what gains nothing is asked for from here.
+/// Guards against sending the requests and responses of many parts between zones. One peer near
+/// the servers must aggregate the parts that have no server in the local zone, several peers in
+/// turn if possible; where this saves nothing, this instance must call the servers itself.
 #[test]
-fn who_collects() {
-    for case in divisions().into_iter().chain(undivided()) {
-        let mut session = case.place.session();
+fn remote_parts_go_to_nearby_aggregators() {
+    for case in assigned_cases().into_iter().chain(unassigned_cases()) {
+        let mut harness = case.fixture.harness();
         let mut parts = Vec::new();
         for number in 0..3 {
             let request = Request { key: format!("k{number}"), ..case.request.clone() };
-            let mut collected = collectors(&session.call(request));
-            collected.sort();
-            parts.extend(collected);
+            let mut at_peers = parts_at_peers(&harness.call(request));
+            at_peers.sort();
+            parts.extend(at_peers);
         }
         let parts = parts.iter().map(|(to, parts)| (&**to, parts.iter().map(String::as_str)));
         let parts = parts.map(|(to, parts)| (to, parts.collect()));
         let parts: Vec<(&str, Vec<&str>)> = parts.collect();
         let expected = case.parts.iter().map(|(to, parts)| (*to, parts.to_vec()));
-        assert_eq!(parts, expected.collect::<Vec<_>>(), "{}", case.story);
+        assert_eq!(parts, expected.collect::<Vec<_>>(), "{}", case.name);
     }
 }
 
-/// Every instance asks for itself and sees a part of what the servers hold: their queues fill unseen
-/// while others are free. Where servers say that they are busy, each group of parts is asked for by one
-/// instance near them for all sweeps, whoever else could; once they are idle, everyone asks again.
+/// Guards against queues that fill unnoticed because every instance sees only a part of a server's
+/// load. Once replies report that servers are busy, one instance near them must call each group's
+/// servers for all sweeps; once the servers are idle, every instance must call them itself again.
 #[test]
-fn busy_servers_are_asked_by_one_instance() {
-    let mut session = parts(vec![vec![HERE, "campanha"]; 6]).session();
-    let mut hear = |permille: u32, id: &str| {
+fn busy_servers_are_called_by_one_instance() {
+    let mut harness = with_parts(vec![vec![LOCAL_ZONE, "campanha"]; 6]).harness();
+    let mut parts_at_utilization = |permille: u32, id: &str| {
         for number in 0..40 {
-            let actions = session.call(sweep(&format!("{id}-{number}")));
-            for (to, work) in works(&actions) {
+            let actions = harness.call(sweep(&format!("{id}-{number}")));
+            for (to, work) in sent_work(&actions) {
                 let replies = work.portions.iter().map(|portion| Reply {
                     busy_permille: permille,
                     ..reply(&work, &portion.service, &[1])
                 });
                 let replies = replies.collect();
-                tell(&mut session, &to, replies);
+                deliver_replies(&mut harness, &to, replies);
             }
-            session.pass(10);
+            harness.advance(10);
         }
-        let ask = |number| collectors(&session.call(sweep(&format!("{id}-then-{number}"))));
-        let asked: Vec<_> = (0..3).map(ask).collect();
-        assert!(asked.iter().all(|one| *one == asked[0]), "the same for all sweeps: {asked:?}");
-        asked[0].iter().map(|(_, parts)| parts.len()).collect::<Vec<_>>()
+        let next_sweep =
+            |number| parts_at_peers(&harness.call(sweep(&format!("{id}-then-{number}"))));
+        let assignments: Vec<_> = (0..3).map(next_sweep).collect();
+        assert!(
+            assignments.iter().all(|one| *one == assignments[0]),
+            "the same assignment for all sweeps: {assignments:?}"
+        );
+        assignments[0].iter().map(|(_, parts)| parts.len()).collect::<Vec<_>>()
     };
-    assert_eq!(hear(150, "idle"), [0; 0], "all have servers here");
-    assert_eq!(hear(900, "busy"), [3, 3], "each group at one peer");
-    assert_eq!(hear(150, "idle again"), [0; 0]);
+    assert_eq!(parts_at_utilization(150, "idle"), [0; 0], "all have servers here");
+    assert_eq!(parts_at_utilization(900, "busy"), [3, 3], "each group at one peer");
+    assert_eq!(parts_at_utilization(150, "idle again"), [0; 0]);
 }
 
-/// Without the setting everything is asked for from here.
+/// Without the setting `near`, this instance must call all servers itself.
 #[test]
-fn nothing_is_collected_unasked() {
-    let mut session = Session::with(Settings::builder(SELF, INCARNATION).build());
-    session.give(Place::default().view());
-    assert!(collectors(&session.call(sweep("k"))).is_empty());
+fn aggregation_is_off_by_default() {
+    let mut harness = Harness::with(Settings::builder(SELF, INCARNATION).build());
+    harness.deliver(ViewFixture::default().view());
+    assert!(parts_at_peers(&harness.call(sweep("k"))).is_empty());
 }
 
-/// The answer holds the greatest records of all parts, those of a collection from its first reply,
-/// and names all parts' signatures.
+/// The answer must contain the greatest records of all parts, with the records of an aggregation
+/// taken from its first reply, and the signatures of all parts.
 #[test]
-fn collection_enters_the_answer() {
-    let mut session = Place::default().session();
-    let (to, there, here) = started(&mut session, "k");
-    let collect = there.collect.expect("terms");
+fn aggregated_records_are_merged_into_answer() {
+    let mut harness = ViewFixture::default().harness();
+    let (to, remote, local) = start_sweep(&mut harness, "k");
+    let collect = remote.collect.expect("terms");
     assert_eq!(collect.top, 3);
-    // Target 100 ms, of which the way to the caller and the way back from the peer are kept.
+    // The target of 100 ms minus the times reserved for the answer's transfer to the caller and
+    // for the reply's transfer from the peer.
     assert!((70_000..80_000).contains(&collect.timely_us), "{collect:?}");
-    assert!(here.collect.is_none());
-    assert!(answers(&tell(&mut session, &to, merged(&there, &[9, 5, 4]))).is_empty());
-    let answer = answer(&tell_near(&mut session, &here, 6));
+    assert!(local.collect.is_none());
+    assert!(answers(&deliver_replies(&mut harness, &to, merged(&remote, &[9, 5, 4]))).is_empty());
+    let answer = only_answer(&answer_local_parts(&mut harness, &local, 6));
     assert_eq!((answer.stamps.len(), answer.missing.len()), (6, 0));
     assert_eq!(records(answer.response), [9, 6, 6]);
 }
 
-/// The target comes while a collection enters: all its parts count, or an answer would name some
-/// parts and hold the records of others.
+/// Guards against an answer that lists some parts and contains the records of others: if the
+/// target time passes while the replies of an aggregation are handled, all of its parts must be
+/// accepted.
 #[test]
-fn collection_enters_whole() {
-    let mut session = Place::default().session();
-    let (to, there, here) = started(&mut session, "k");
-    let near = here.portions.iter().take(2);
-    let near = near.map(|portion| reply(&here, &portion.service, &[1])).collect();
-    tell(&mut session, SELF, near);
-    session.pass(90);
-    let answer = answer(&tell(&mut session, &to, merged(&there, &[9, 8, 7])));
+fn aggregation_at_target_time_is_accepted_whole() {
+    let mut harness = ViewFixture::default().harness();
+    let (to, remote, local) = start_sweep(&mut harness, "k");
+    let near = local.portions.iter().take(2);
+    let near = near.map(|portion| reply(&local, &portion.service, &[1])).collect();
+    deliver_replies(&mut harness, SELF, near);
+    harness.advance(90);
+    let answer = only_answer(&deliver_replies(&mut harness, &to, merged(&remote, &[9, 8, 7])));
     assert_eq!((answer.stamps.len(), answer.missing.len()), (5, 1));
     assert_eq!(records(answer.response), [9, 8, 7]);
 }
 
-/// One part of a collection was answered from here meanwhile, or the collection is not what it says
-/// that it is. Its records cannot be told apart: it must not enter, and its parts that are still open
-/// are asked for again.
+/// Guards against accepting merged records that cannot be separated, when one part of an
+/// aggregation was already answered locally or the aggregation is inconsistent. All of its replies
+/// must be dropped, and its open parts must be sent again.
 #[test]
-fn collection_that_does_not_fit_is_dropped_whole() {
+fn inconsistent_aggregation_is_dropped_whole() {
     struct Case {
-        story: &'static str,
-        /// The peer refuses the first part, which is then answered from here.
-        first_is_here: bool,
-        spoil: fn(&mut Vec<Reply>),
-        asked_again: usize,
+        name: &'static str,
+        /// The peer refuses the first part, which is then answered locally.
+        first_answered_locally: bool,
+        corrupt: fn(&mut Vec<Reply>),
+        sent_again: usize,
     }
-    let case = |story, spoil, asked_again| Case { story, first_is_here: false, spoil, asked_again };
+    let case = |name, corrupt, sent_again| Case {
+        name,
+        first_answered_locally: false,
+        corrupt,
+        sent_again,
+    };
     let cases = [
-        Case { first_is_here: true, ..case("one is here", |_| {}, 2) },
-        case("cut short", |replies| drop(replies.pop()), 2),
-        case("a part twice", |replies| replies[2] = replies[1].clone(), 2),
+        Case { first_answered_locally: true, ..case("one part was answered here", |_| {}, 2) },
+        case("the last reply is cut off", |replies| drop(replies.pop()), 2),
+        case("a part occurs twice", |replies| replies[2] = replies[1].clone(), 2),
         case("another version", |replies| replies[1].version += 1, 2),
         case("another query", |replies| replies[2].query += 1, 3),
-        case("refused within", |replies| replies[1].reason = Reason::TargetShed.into(), 2),
+        case("one part is refused", |replies| replies[1].reason = Reason::TargetShed.into(), 2),
     ];
     for case in cases {
-        let mut session = Place::default().session();
-        let (to, there, _) = started(&mut session, "k");
-        let mut replies = merged(&there, &[9, 8, 7]);
-        if case.first_is_here {
-            let first = there.portions[0].service.clone();
-            let refusal = refused(&there, &first, Reason::NoServer);
-            let (_, again) = works(&tell(&mut session, &to, vec![refusal])).remove(0);
-            tell(&mut session, SELF, vec![reply(&again, &first, &[2])]);
+        let mut harness = ViewFixture::default().harness();
+        let (to, remote, _) = start_sweep(&mut harness, "k");
+        let mut replies = merged(&remote, &[9, 8, 7]);
+        if case.first_answered_locally {
+            let first = remote.portions[0].service.clone();
+            let refusal = refusal_reply(&remote, &first, Reason::NoServer);
+            let (_, again) =
+                sent_work(&deliver_replies(&mut harness, &to, vec![refusal])).remove(0);
+            deliver_replies(&mut harness, SELF, vec![reply(&again, &first, &[2])]);
         }
-        (case.spoil)(&mut replies);
-        let actions = tell(&mut session, &to, replies);
-        let again: usize = works(&actions).iter().map(|(_, work)| work.portions.len()).sum();
-        assert_eq!(again, case.asked_again, "{}", case.story);
-        assert!(actions.contains(&dropped(Reason::StaleAnswer)), "{}", case.story);
-        assert!(answers(&actions).is_empty(), "{}", case.story);
+        (case.corrupt)(&mut replies);
+        let actions = deliver_replies(&mut harness, &to, replies);
+        let again: usize = sent_work(&actions).iter().map(|(_, work)| work.portions.len()).sum();
+        assert_eq!(again, case.sent_again, "{}", case.name);
+        assert!(actions.contains(&drop_count(Reason::StaleAnswer)), "{}", case.name);
+        assert!(answers(&actions).is_empty(), "{}", case.name);
     }
 }
 
-/// Zones far apart: a collection sent back just before the target would arrive after it. How long
-/// the way takes is learned from what peers say they held it for.
+/// Guards against aggregations that arrive after the target time because the peer is in a distant
+/// zone. The round-trip time must be learned from the time for which peers report that they held
+/// the parts.
 #[test]
-fn collection_is_wanted_early_enough_for_its_way() {
-    let one = Place { peers: vec![("e2", "campanha")], ..Place::default() };
-    let mut session = one.session();
+fn aggregation_deadline_allows_for_round_trip() {
+    let fixture = ViewFixture { peers: vec![("e2", "campanha")], ..ViewFixture::default() };
+    let mut harness = fixture.harness();
     let timely = |work: &Work| work.collect.expect("terms").timely_us;
-    let (to, there, here) = started(&mut session, "k0");
-    let unknown = timely(&there);
-    session.pass(30);
-    let mut replies = merged(&there, &[9]);
+    let (to, remote, local) = start_sweep(&mut harness, "k0");
+    let unknown = timely(&remote);
+    harness.advance(30);
+    let mut replies = merged(&remote, &[9]);
     replies[0].held_us = 16_000;
-    tell(&mut session, &to, replies);
-    tell_near(&mut session, &here, 1);
-    let known = timely(&started(&mut session, "k1").1);
-    // 14 ms on the way in place of the 4 assumed, and 2 for queues.
+    deliver_replies(&mut harness, &to, replies);
+    answer_local_parts(&mut harness, &local, 1);
+    let known = timely(&start_sweep(&mut harness, "k1").1);
+    // 14 ms of round-trip time and 2 ms for queues, in place of an assumed total of 4 ms.
     assert_eq!((unknown, known), (79_000, 67_000));
 }
 
-/// What ends a peer's part in a sweep.
+/// How a partial aggregator fails.
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum AggregatorFailure {
     Refuses(Reason),
     LinkDown,
     Silent,
 }
 
-/// A peer refuses, dies, or stands still. Its parts are asked for from here, so that the sweep has
-/// its floor soon after its target at the latest.
+/// If a partial aggregator refuses, dies or does not respond, this instance must call the servers
+/// of its parts itself, so that the sweep reaches its floor soon after its target time at the
+/// latest.
 #[test]
-fn parts_at_a_lost_peer_are_asked_for_from_here() {
+fn parts_of_lost_aggregator_are_sent_locally() {
     let cases = [
-        End::Refuses(Reason::Draining),
-        End::Refuses(Reason::NotReady),
-        End::Refuses(Reason::NoServer),
-        End::LinkDown,
-        End::Silent,
+        AggregatorFailure::Refuses(Reason::Draining),
+        AggregatorFailure::Refuses(Reason::NotReady),
+        AggregatorFailure::Refuses(Reason::NoServer),
+        AggregatorFailure::LinkDown,
+        AggregatorFailure::Silent,
     ];
-    for end in cases {
-        let mut session = Place::default().session();
-        let (to, there, here) = started(&mut session, "k");
-        // Two of three near parts are there: below the floor of three.
-        let near = here.portions.iter().take(2);
-        let near = near.map(|portion| reply(&here, &portion.service, &[1])).collect();
-        tell(&mut session, SELF, near);
-        let actions = match end {
-            End::Refuses(reason) => {
-                let portions = there.portions.iter();
-                let refusals = portions.map(|portion| refused(&there, &portion.service, reason));
+    for failure in cases {
+        let mut harness = ViewFixture::default().harness();
+        let (to, remote, local) = start_sweep(&mut harness, "k");
+        // Two of three local parts are covered, which is below the floor of three.
+        let near = local.portions.iter().take(2);
+        let near = near.map(|portion| reply(&local, &portion.service, &[1])).collect();
+        deliver_replies(&mut harness, SELF, near);
+        let actions = match failure {
+            AggregatorFailure::Refuses(reason) => {
+                let portions = remote.portions.iter();
+                let refusals =
+                    portions.map(|portion| refusal_reply(&remote, &portion.service, reason));
                 let refusals = refusals.collect();
-                tell(&mut session, &to, refusals)
+                deliver_replies(&mut harness, &to, refusals)
             }
-            End::LinkDown => session.link_down(&to),
-            End::Silent => session.pass(99),
+            AggregatorFailure::LinkDown => harness.link_down(&to),
+            AggregatorFailure::Silent => harness.advance(99),
         };
-        let again = works(&actions);
-        assert!(again.iter().all(|(to, work)| **to == *SELF && work.collect.is_none()), "{end:?}");
+        let again = sent_work(&actions);
+        assert!(
+            again.iter().all(|(to, work)| **to == *SELF && work.collect.is_none()),
+            "{failure:?}"
+        );
         let services = again.iter().flat_map(|(_, work)| &work.portions);
-        assert_eq!(services.count(), 3, "{end:?}");
-        // The lost peer may have asked both servers that the route allows: who asks now is told to keep
-        // to the same two.
+        assert_eq!(services.count(), 3, "{failure:?}");
+        // The lost peer may have called both servers that the route allows: the next instance must
+        // be restricted to the same two.
         let portions = again.iter().flat_map(|(_, work)| &work.portions);
         for portion in portions {
-            let first = there.portions.iter().find(|first| first.service == portion.service);
+            let first = remote.portions.iter().find(|first| first.service == portion.service);
             let first = first.and_then(|first| first.eligible.clone());
-            assert_eq!(first.as_ref().map(|first| first.servers.len()), Some(2), "{end:?}");
-            assert_eq!(portion.eligible, first, "{end:?}");
+            assert_eq!(first.as_ref().map(|first| first.servers.len()), Some(2), "{failure:?}");
+            assert_eq!(portion.eligible, first, "{failure:?}");
         }
         for (_, work) in &again {
             let portions = work.portions.iter();
             let replies = portions.map(|portion| reply(work, &portion.service, &[5])).collect();
-            tell(&mut session, SELF, replies);
+            deliver_replies(&mut harness, SELF, replies);
         }
-        session.pass(100);
-        assert_eq!(session.machine.open(), 0, "{end:?}");
+        harness.advance(100);
+        assert_eq!(harness.machine.open(), 0, "{failure:?}");
     }
 }
 
-/// Instances differ in their processors, and the hash gave most parts of every sweep to those with an
-/// eighth of a core: its answers lay unread there, the calls counted as slow and got second copies, and
-/// small sweeps came late. Who has a whole core asks for what four others could, and only then they.
+/// Guards against assigning most parts to instances with an eighth of a core, by hash alone:
+/// replies remained unread there, calls were counted as slow and hedged, and small sweeps were
+/// late. An instance with a whole core must receive about as many groups as four weak ones.
 #[test]
-fn askers_are_chosen_by_their_processors() {
+fn groups_are_assigned_by_processor_capacity() {
     let weak = ["e2", "e3", "e5", "e6", "e7", "e8"];
     let zone = |at: usize| ["campanha", "sao-bento"][at % 2];
     let mut peers: Vec<_> = weak.iter().enumerate().map(|(at, name)| (*name, zone(at))).collect();
@@ -504,70 +546,77 @@
     millicores.extend([("e9", 1000), (SELF, 250)]);
     // 36 parts in groups of six.
     let parts = vec![vec!["campanha", "sao-bento"]; 36];
-    let place = Place { parts, peers, millicores, scarce: true, ..Place::default() };
-    let mut session = place.session();
+    let fixture = ViewFixture { parts, peers, millicores, scarce: true, ..ViewFixture::default() };
+    let mut harness = fixture.harness();
     let mut groups: Map<Arc<str>, usize> = Map::default();
-    for (to, work) in works(&session.call(sweep("k"))) {
+    for (to, work) in sent_work(&harness.call(sweep("k"))) {
         *groups.entry(to).or_default() += work.portions.len() / 6;
     }
     let strong = groups.remove("e9").unwrap_or_default();
-    assert!((3..=4).contains(&strong), "{strong} of six groups at the strong one, {groups:?}");
+    assert!((3..=4).contains(&strong), "{strong} of six groups at the strong instance, {groups:?}");
     assert!(groups.values().all(|groups| *groups == 1), "{groups:?}");
 }
 
-/// Whether a part's servers are chosen anew after its first asker is done with it.
-struct Again {
+/// Whether the servers of a part are selected again after its first aggregator refused it or was
+/// lost.
+struct ReselectionCase {
     name: &'static str,
-    end: End,
+    failure: AggregatorFailure,
     verdict: Verdict,
-    /// The third server, which the first choice left out, is named.
-    third: bool,
+    /// Whether the third server, which the first selection left out, must be selected.
+    expects_third: bool,
 }
 
-/// Both servers that a part may run on are out of reach for its asker. Named again, they would be all
-/// that the next asker may try, while the third one is idle. Once one of them may have run it, they stay.
+/// Both servers selected for a part are unreachable for its aggregator. Guards against selecting
+/// the same two for the next instance while the third server is idle. Once one of them may have
+/// run the part, the selection must stay.
 #[test]
-fn servers_that_an_asker_can_not_use_are_passed_over() {
-    let unused = |reason| End::Refuses(reason);
+fn unusable_servers_are_replaced_if_nothing_ran() {
+    let unused = |reason| AggregatorFailure::Refuses(reason);
     let cases = [
-        Again {
+        ReselectionCase {
             name: "gone",
-            end: unused(Reason::NoServer),
+            failure: unused(Reason::NoServer),
             verdict: Verdict::NotRun,
-            third: true,
+            expects_third: true,
         },
-        Again {
+        ReselectionCase {
             name: "unreachable",
-            end: unused(Reason::ConnectFailed),
+            failure: unused(Reason::ConnectFailed),
             verdict: Verdict::NotRun,
-            third: true,
+            expects_third: true,
         },
-        Again {
+        ReselectionCase {
             name: "one may have run",
-            end: unused(Reason::NoServer),
+            failure: unused(Reason::NoServer),
             verdict: Verdict::MayHaveRun,
-            third: false,
+            expects_third: false,
+        },
+        ReselectionCase {
+            name: "lost",
+            failure: AggregatorFailure::LinkDown,
+            verdict: Verdict::NotRun,
+            expects_third: false,
         },
-        Again { name: "lost", end: End::LinkDown, verdict: Verdict::NotRun, third: false },
     ];
-    for Again { name, end, verdict, third } in cases {
+    for ReselectionCase { name, failure, verdict, expects_third } in cases {
         let parts = vec![vec!["campanha", "sao-bento", "sao-bento"]; 3];
-        let place = Place { parts, ..Place::default() };
-        let mut session = place.session();
-        let first = works(&session.call(sweep("k"))).remove(0);
-        let actions = match end {
-            End::Refuses(reason) => {
+        let fixture = ViewFixture { parts, ..ViewFixture::default() };
+        let mut harness = fixture.harness();
+        let first = sent_work(&harness.call(sweep("k"))).remove(0);
+        let actions = match failure {
+            AggregatorFailure::Refuses(reason) => {
                 let refusal = |service| Reply {
                     verdict: verdict.into(),
-                    ..refused(&first.1, service, reason)
+                    ..refusal_reply(&first.1, service, reason)
                 };
                 let portions = first.1.portions.iter();
                 let refusals = portions.map(|portion| refusal(&portion.service)).collect();
-                tell(&mut session, &first.0, refusals)
+                deliver_replies(&mut harness, &first.0, refusals)
             }
-            _ => session.link_down(&first.0),
+            _ => harness.link_down(&first.0),
         };
-        let again = works(&actions);
+        let again = sent_work(&actions);
         assert!(!again.is_empty(), "{name}");
         for portion in again.iter().flat_map(|(_, work)| &work.portions) {
             let before = first.1.portions.iter().find(|one| one.service == portion.service);
@@ -576,138 +625,149 @@
             let all =
                 (1..=3).map(|number| Mark::of(&format!("{}-{}", portion.service, number - 1)).0);
             let left_out = all.into_iter().find(|mark| !before.contains(mark));
-            assert_eq!(left_out.is_some_and(|mark| now.contains(&mark)), third, "{name}");
-            assert!(third || now == before, "{name}");
+            assert_eq!(left_out.is_some_and(|mark| now.contains(&mark)), expects_third, "{name}");
+            assert!(expects_third || now == before, "{name}");
             assert_eq!(now.len(), 2, "{name}");
         }
     }
 }
 
-/// Servers take fewer connections than there are instances, and the one that asks them for all is lost
-/// or leaves. Were every instance to ask from here then, each would open connections that only the
-/// next asker needs; all of them give the parts to that one.
+/// The servers accept fewer connections than there are instances, and the instance that calls them
+/// for all is lost or leaves. Guards against every instance calling them itself and opening
+/// connections that the next aggregator needs: all parts must go to that one.
 #[test]
-fn next_asker_follows_where_connections_are_few() {
-    for end in [End::Refuses(Reason::Draining), End::LinkDown, End::Silent] {
+fn scarce_connections_keep_parts_at_one_aggregator() {
+    for failure in [
+        AggregatorFailure::Refuses(Reason::Draining),
+        AggregatorFailure::LinkDown,
+        AggregatorFailure::Silent,
+    ] {
         let parts = vec![vec!["campanha", "sao-bento"]; 3];
         let peers = vec![("e2", "campanha"), ("e3", "sao-bento"), ("e4", "campanha")];
-        let place = Place { parts, peers, scarce: true, ..Place::default() };
-        let mut session = place.session();
-        let works = works(&session.call(sweep("k")));
-        assert!(works.iter().all(|(to, _)| **to != *SELF), "the servers stand elsewhere");
+        let fixture = ViewFixture { parts, peers, scarce: true, ..ViewFixture::default() };
+        let mut harness = fixture.harness();
+        let works = sent_work(&harness.call(sweep("k")));
+        assert!(works.iter().all(|(to, _)| **to != *SELF), "no server is in the local zone");
         let (first, work) = &works[0];
-        let lost = match end {
-            End::Refuses(reason) => {
+        let lost = match failure {
+            AggregatorFailure::Refuses(reason) => {
                 let portions = work.portions.iter();
-                let refusals = portions.map(|portion| refused(work, &portion.service, reason));
+                let refusals =
+                    portions.map(|portion| refusal_reply(work, &portion.service, reason));
                 let refusals = refusals.collect();
-                tell(&mut session, first, refusals)
+                deliver_replies(&mut harness, first, refusals)
             }
-            End::LinkDown => session.link_down(first),
-            End::Silent => session.pass(99),
+            AggregatorFailure::LinkDown => harness.link_down(first),
+            AggregatorFailure::Silent => harness.advance(99),
         };
-        let again = self::works(&lost);
+        let again = self::sent_work(&lost);
         let services = again.iter().flat_map(|(_, work)| &work.portions);
-        assert!(services.count() >= work.portions.len(), "{end:?}: asked for again");
+        assert!(services.count() >= work.portions.len(), "{failure:?}: sent again");
         let next = |to: &Arc<str>| **to != *SELF && to != first;
-        assert!(again.iter().all(|(to, _)| next(to)), "{end:?}: by the next asker");
+        assert!(again.iter().all(|(to, _)| next(to)), "{failure:?}: by the next aggregator");
     }
 }
 
-/// A peer that was silent collects nothing for a while; with all of them silent nobody does.
+/// A silent peer must not be assigned parts for some time; if all peers are silent, none is
+/// assigned any.
 #[test]
-fn silent_peers_are_passed_over() {
-    let mut session = Place::default().session();
-    let first = started(&mut session, "k1").0;
-    session.pass(99);
+fn silent_peers_get_no_parts() {
+    let mut harness = ViewFixture::default().harness();
+    let first = start_sweep(&mut harness, "k1").0;
+    harness.advance(99);
     for key in ["k2", "k3"] {
-        assert_ne!(started(&mut session, key).0, first);
+        assert_ne!(start_sweep(&mut harness, key).0, first);
     }
-    session.pass(99);
-    assert!(collectors(&session.call(sweep("k4"))).is_empty());
-    session.pass(2500);
-    assert!(!collectors(&session.call(sweep("k5"))).is_empty());
+    harness.advance(99);
+    assert!(parts_at_peers(&harness.call(sweep("k4"))).is_empty());
+    harness.advance(2500);
+    assert!(!parts_at_peers(&harness.call(sweep("k5"))).is_empty());
 }
 
-/// Many servers are down and a peer says that it still collects: it lives. To ask the servers from
-/// here too would cost each of them a second call.
+/// Guards against a second call to each server when many servers are down and a peer reports that
+/// it is still aggregating, which shows that it is alive.
 #[test]
-fn peer_that_still_collects_is_waited_for() {
-    let mut session = Place::default().session();
-    let (to, there, _) = started(&mut session, "k");
-    session.pass(80);
-    let (query, round) = (there.query, there.round);
+fn progress_report_keeps_parts_at_peer() {
+    let mut harness = ViewFixture::default().harness();
+    let (to, remote, _) = start_sweep(&mut harness, "k");
+    harness.advance(80);
+    let (query, round) = (remote.query, remote.round);
     let pending = Pending { query, round, incarnation: INCARNATION };
-    session.give(Event::Pending { from: to, pending });
-    assert!(works(&session.pass(100)).is_empty());
+    harness.deliver(Event::Pending { from: to, pending });
+    assert!(sent_work(&harness.advance(100)).is_empty());
 }
 
-/// Some parts come back, late and just when the peer had to speak; the word about the rest is the
-/// next thing in the same frame. The rest must not be asked for from here: six requests of one day
-/// ran on three servers of a shard of which their routes allow two.
+/// Guards against sending the remaining parts again when some replies of a partial aggregator
+/// arrive just as its progress report is due, with the report on the others next in the same
+/// frame. This caused six requests in one test day to run on three servers of a shard although
+/// their routes allow two.
 #[test]
-fn reply_is_a_word_too() {
-    let mut session = Place::default().session();
-    let (to, there, _) = started(&mut session, "k");
-    session.pass(80);
-    session.now = session.now + std::time::Duration::from_millis(20);
-    let first = &there.portions[0].service;
-    let actions = tell(&mut session, &to, vec![reply(&there, first, &[1])]);
-    assert!(works(&actions).is_empty());
-    assert!(works(&session.pass(100)).is_empty());
-}
-
-/// Words of another peer, of another life or of another round do not count for it.
+fn reply_counts_as_progress_report() {
+    let mut harness = ViewFixture::default().harness();
+    let (to, remote, _) = start_sweep(&mut harness, "k");
+    harness.advance(80);
+    harness.now = harness.now + std::time::Duration::from_millis(20);
+    let first = &remote.portions[0].service;
+    let actions = deliver_replies(&mut harness, &to, vec![reply(&remote, first, &[1])]);
+    assert!(sent_work(&actions).is_empty());
+    assert!(sent_work(&harness.advance(100)).is_empty());
+}
+
+/// Progress reports of another peer, incarnation, round or query must be ignored.
 #[test]
-fn word_of_another_does_not_count() {
+fn unrelated_progress_report_is_ignored() {
     struct Case {
-        story: &'static str,
+        name: &'static str,
         from: Option<&'static str>,
         change: fn(&mut Pending),
     }
     let cases = [
-        Case { story: "another peer", from: Some("e4"), change: |_| {} },
-        Case { story: "another life", from: None, change: |pending| pending.incarnation += 1 },
-        Case { story: "another round", from: None, change: |pending| pending.round += 1 },
-        Case { story: "another query", from: None, change: |pending| pending.query += 1 },
+        Case { name: "another peer", from: Some("e4"), change: |_| {} },
+        Case {
+            name: "another incarnation",
+            from: None,
+            change: |pending| pending.incarnation += 1,
+        },
+        Case { name: "another round", from: None, change: |pending| pending.round += 1 },
+        Case { name: "another query", from: None, change: |pending| pending.query += 1 },
     ];
     for case in cases {
-        let mut session = Place::default().session();
-        let (to, there, _) = started(&mut session, "k");
-        session.pass(80);
-        let (query, round) = (there.query, there.round);
+        let mut harness = ViewFixture::default().harness();
+        let (to, remote, _) = start_sweep(&mut harness, "k");
+        harness.advance(80);
+        let (query, round) = (remote.query, remote.round);
         let mut pending = Pending { query, round, incarnation: INCARNATION };
         (case.change)(&mut pending);
         let from = case.from.map_or(to, Arc::from);
-        session.give(Event::Pending { from, pending });
-        assert!(!works(&session.pass(30)).is_empty(), "{}", case.story);
+        harness.deliver(Event::Pending { from, pending });
+        assert!(!sent_work(&harness.advance(30)).is_empty(), "{}", case.name);
     }
 }
 
-/// This process itself stood still over the target: the peer's word may wait unread, and proves
-/// nothing against it until there was time to read it.
+/// Guards against considering a peer lost because this process was paused over the target time:
+/// the peer's report may not have been read yet, and must be allowed time to be read.
 #[test]
-fn own_pause_is_not_held_against_a_peer() {
-    let mut session = Place::default().session();
-    let (to, there, here) = started(&mut session, "k");
-    session.now = session.now + std::time::Duration::from_millis(150);
-    assert!(works(&session.give(Event::Tick)).is_empty());
-    tell_near(&mut session, &here, 1);
-    let late = tell(&mut session, &to, merged(&there, &[9]));
-    assert!(works(&late).is_empty());
-    assert_eq!(session.machine.open(), 0);
-}
-
-/// Guards against a peer that is asked for parts of which it may use no server.
+fn own_pause_does_not_mark_peer_lost() {
+    let mut harness = ViewFixture::default().harness();
+    let (to, remote, local) = start_sweep(&mut harness, "k");
+    harness.now = harness.now + std::time::Duration::from_millis(150);
+    assert!(sent_work(&harness.deliver(Event::Tick)).is_empty());
+    answer_local_parts(&mut harness, &local, 1);
+    let late = deliver_replies(&mut harness, &to, merged(&remote, &[9]));
+    assert!(sent_work(&late).is_empty());
+    assert_eq!(harness.machine.open(), 0);
+}
+
+/// Guards against assigning parts to a peer that may use none of their servers.
 #[test]
-fn parts_go_to_peers_near_servers_that_may_be_used() {
-    for (evacuated, asked) in [("campanha", "e3"), ("sao-bento", "e2")] {
-        let place = Place { evacuated, ..Place::default() };
-        let mut session = place.session();
+fn parts_go_to_peers_near_usable_servers() {
+    for (evacuated, expected_peer) in [("campanha", "e3"), ("sao-bento", "e2")] {
+        let fixture = ViewFixture { evacuated, ..ViewFixture::default() };
+        let mut harness = fixture.harness();
         for number in 0..6 {
-            let (to, there, _) = started(&mut session, &format!("sweep-{number}"));
-            assert_eq!(&*to, asked, "{evacuated} is evacuated");
-            for portion in &there.portions {
+            let (to, remote, _) = start_sweep(&mut harness, &format!("sweep-{number}"));
+            assert_eq!(&*to, expected_peer, "{evacuated} is evacuated");
+            for portion in &remote.portions {
                 let eligible = portion.eligible.as_ref().expect("a choice of servers");
                 let usable = if evacuated == "campanha" { 2 } else { 1 };
                 let first = Mark::of(&format!("{}-{}", portion.service, usable - 1)).0;
@@ -717,36 +777,43 @@
     }
 }
 
-/// Guards against naming servers for a part that lose its answer while another one would not.
+/// Guards against selecting servers that lose a part's response while another server would not.
 ///
-/// The load: half of the servers lose a part of their answers, and most parts have a replica that loses none.
+/// The load: half of the servers lose some of their responses, and most parts have a replica that
+/// loses none.
 #[test]
-fn servers_to_avoid_are_chosen_last() {
-    let place = Place { parts: vec![vec!["campanha", HERE, "sao-bento"]; 6], ..Place::default() };
-    let mut session = place.session();
+fn reported_failing_servers_are_chosen_last() {
+    let fixture = ViewFixture {
+        parts: vec![vec!["campanha", LOCAL_ZONE, "sao-bento"]; 6],
+        ..ViewFixture::default()
+    };
+    let mut harness = fixture.harness();
     let chosen = |work: &Work, service: &str| {
         let portion = work.portions.iter().find(|portion| portion.service == service);
         portion.and_then(|portion| portion.eligible.clone()).expect("a choice").servers
     };
     let avoid: Vec<u32> = ["s1-0", "s1-1"].map(|name| Mark::of(name).0).to_vec();
-    let [(_, first)] = &works(&session.call(sweep("first")))[..] else {
-        panic!("all parts are asked for here");
+    let [(_, first)] = &sent_work(&harness.call(sweep("first")))[..] else {
+        panic!("all servers are called from here");
     };
-    assert!(chosen(first, "s1").contains(&Mark::of("s1-1").0), "near and not known to fail");
+    assert!(chosen(first, "s1").contains(&Mark::of("s1-1").0), "near and not reported as failing");
     let replies = first.portions.iter().map(|portion| {
         let avoid = if portion.service == "s1" { avoid.clone() } else { Vec::new() };
         Reply { avoid, ..reply(first, &portion.service, &[1]) }
     });
     let replies = replies.collect();
-    tell(&mut session, SELF, replies);
-    let [(_, second)] = &works(&session.call(sweep("second")))[..] else {
-        panic!("all parts are asked for here");
+    deliver_replies(&mut harness, SELF, replies);
+    let [(_, second)] = &sent_work(&harness.call(sweep("second")))[..] else {
+        panic!("all servers are called from here");
     };
     assert_eq!(chosen(second, "s1")[0], Mark::of("s1-2").0);
-    assert!(chosen(second, "s2").contains(&Mark::of("s2-1").0), "told of one service only");
-    session.pass(2500);
-    let [(_, third)] = &works(&session.call(sweep("third")))[..] else {
-        panic!("all parts are asked for here");
+    assert!(
+        chosen(second, "s2").contains(&Mark::of("s2-1").0),
+        "the report concerns one service only"
+    );
+    harness.advance(2500);
+    let [(_, third)] = &sent_work(&harness.call(sweep("third")))[..] else {
+        panic!("all servers are called from here");
     };
-    assert!(chosen(third, "s1").contains(&Mark::of("s1-1").0), "what was told is too old");
+    assert!(chosen(third, "s1").contains(&Mark::of("s1-1").0), "the report has expired");
 }
--- a/crates/core/tests/gather/oracle.rs
+++ b/crates/core/tests/gather/oracle.rs
@@ -1,4 +1,4 @@
-//! Watches a machine from outside and checks what it promises, whatever it is told.
+//! Checks the observable actions of a gathering machine against its invariants.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use crate::fleet::INDEX;
 use crate::session::INCARNATION;
 
-/// A portion on its way to an owner and what its first valid reply said.
+/// A portion that was sent to an owner, with the first valid reply to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     pub(crate) caller: Caller,
@@ -30,7 +30,8 @@
         verdict == Some(Verdict::NotRun)
     }
 
-    /// Exactly the identifiers, version and shards of this sending.
+    /// Returns whether a reply matches the identifiers, version and shards of this sending
+    /// exactly.
     fn is_answered_by(&self, from: &str, reply: &Reply) -> bool {
         let mut shards: Vec<&str> = reply.parts.iter().map(|part| part.shard.as_str()).collect();
         shards.sort_unstable();
@@ -47,34 +48,34 @@
     }
 }
 
-/// An open call.
+/// A call that has not been answered.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenCall {
     request: Request,
     arrived: Instant,
 }
 
-/// Checks every action against what went before.
+/// Checks every action of the machine against the preceding events and actions.
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
-    open: BTreeMap<Caller, Open>,
+    open: BTreeMap<Caller, OpenCall>,
     pub(crate) sent: Vec<Sent>,
-    /// Shard names of each version that was ever in a view.
-    pub(crate) maps: BTreeMap<u64, Vec<String>>,
+    /// Shard names of each version that was in any view.
+    pub(crate) shards_by_version: BTreeMap<u64, Vec<String>>,
 }
 
 impl Oracle {
-    pub(crate) fn called(&mut self, now: Instant, caller: Caller, request: &Request) {
-        let open = Open { request: request.clone(), arrived: now };
+    pub(crate) fn record_call(&mut self, now: Instant, caller: Caller, request: &Request) {
+        let open = OpenCall { request: request.clone(), arrived: now };
         self.open.insert(caller, open);
     }
 
-    pub(crate) fn gone(&mut self, caller: Caller) {
+    pub(crate) fn record_disconnect(&mut self, caller: Caller) {
         self.open.remove(&caller);
     }
 
-    /// Notes what a reply proves, if it is the first valid one of a sending.
-    pub(crate) fn replied(&mut self, from: &str, reply: &Reply) {
+    /// Records a reply if it is the first valid one to a sending.
+    pub(crate) fn record_reply(&mut self, from: &str, reply: &Reply) {
         let sent = self.sent.iter_mut();
         for sent in sent.filter(|sent| sent.is_answered_by(from, reply)) {
             sent.reply.get_or_insert_with(|| reply.clone());
@@ -91,15 +92,15 @@
         }
         assert_eq!(machine.open(), self.open.len(), "each call is open or answered");
         for (caller, open) in &self.open {
-            // A caller that names no deadline waits for at least the shortest default of 100 ms and
-            // at most the longest of 500 ms.
+            // A caller without a deadline waits for at least the shortest default of 100 ms and at
+            // most the longest of 500 ms.
             let asked = match open.request.deadline_ms {
                 0 => 500,
                 asked => asked.into(),
             };
             let deadline = open.arrived + Duration::from_millis(asked);
             assert!(now < deadline, "{caller:?} is open after its deadline");
-            let wake = machine.next_wake().expect("an open query wants a wake");
+            let wake = machine.next_wake().expect("an open query has a timer");
             assert!(wake < deadline, "{caller:?} would be answered too late");
         }
     }
@@ -108,7 +109,7 @@
         let caller = Caller(work.payload.parse().expect("the payload names the caller"));
         let open = self.open.get(&caller).expect("work only for open calls");
         assert!(now.since(open.arrived) < Duration::from_millis(500));
-        assert!(work.budget_us < 500_000, "the budget is what is left");
+        assert!(work.budget_us < 500_000, "the budget is the time left");
         for portion in &work.portions {
             self.check_repeat(work, portion);
             self.sent.push(Sent {
@@ -121,11 +122,11 @@
         }
     }
 
-    /// What may not be repeated goes out again only after proof that it did not run, also for a
-    /// second call with the same key.
+    /// Checks that non-idempotent work is sent again only after proof that it did not run, also
+    /// for a second call with the same key.
     fn check_repeat(&self, work: &Work, portion: &Portion) {
-        let same = |sent: &&Sent| sent.work.query == work.query;
-        let before = self.sent.iter().filter(same);
+        let is_same_query = |sent: &&Sent| sent.work.query == work.query;
+        let before = self.sent.iter().filter(is_same_query);
         let before = before.filter(|sent| sent.portion.service == portion.service);
         assert!(before.count() < 3, "three sendings of a portion at most");
         if !work.unrepeatable {
@@ -133,7 +134,7 @@
         }
         let earlier = self.sent.iter().filter(|sent| {
             let same_key = sent.work.key == work.key && sent.work.unrepeatable;
-            same_key && shares_shard(&sent.portion, portion)
+            same_key && have_common_shard(&sent.portion, portion)
         });
         for sent in earlier {
             assert!(sent.is_proved_not_run(), "{work:?} may run twice after {sent:?}");
@@ -144,8 +145,8 @@
         let open = self.open.remove(&caller).expect("one answer for each call");
         assert_eq!(answer.key, open.request.key);
         assert_ne!(answer.verdict(), Verdict::Unspecified);
-        let named = answer.covered.len() + answer.missing.len();
-        if named == 0 {
+        let listed = answer.covered.len() + answer.missing.len();
+        if listed == 0 {
             assert!(self.sent.iter().all(|sent| sent.caller != caller));
             assert_ne!(answer.reason(), Reason::Unspecified);
             return;
@@ -153,28 +154,29 @@
         self.check_coverage(&open.request, answer);
         self.check_parts(caller, answer);
         self.check_verdicts(caller, answer);
-        let whole = answer.missing.is_empty();
-        assert_eq!(status(answer) == 200, whole, "200 means all of it");
+        let is_complete = answer.missing.is_empty();
+        assert_eq!(status(answer) == 200, is_complete, "200 means that all shards are covered");
     }
 
-    /// Covered and missing shards are the asked ones, each once.
+    /// Checks that the covered and missing shards together are the requested ones, each once.
     fn check_coverage(&self, request: &Request, answer: &Answer) {
         assert_eq!(answer.index, INDEX);
-        let mut named: Vec<&str> = answer.covered.iter().map(String::as_str).collect();
-        named.extend(answer.missing.iter().map(|missing| missing.shard.as_str()));
-        let map = self.maps[&answer.version].iter().map(String::as_str);
+        let mut listed: Vec<&str> = answer.covered.iter().map(String::as_str).collect();
+        listed.extend(answer.missing.iter().map(|missing| missing.shard.as_str()));
+        let map = self.shards_by_version[&answer.version].iter().map(String::as_str);
         let in_order = map.filter(|shard| answer.covered.iter().any(|covered| covered == shard));
         assert!(in_order.eq(answer.covered.iter()), "in order of the map");
-        named.sort_unstable();
+        listed.sort_unstable();
         let mut asked: Vec<&str> = match request.shards.as_slice() {
-            [] => self.maps[&answer.version].iter().map(String::as_str).collect(),
+            [] => self.shards_by_version[&answer.version].iter().map(String::as_str).collect(),
             shards => shards.iter().map(String::as_str).collect(),
         };
         asked.sort_unstable();
-        assert_eq!(named, asked);
+        assert_eq!(listed, asked);
     }
 
-    /// Each covered shard has one part, from a valid reply to this call, of the answer's version.
+    /// Checks that each covered shard has one part, which is from a valid reply to this call and
+    /// of the answer's version.
     fn check_parts(&self, caller: Caller, answer: &Answer) {
         let shards: Vec<&String> = answer.parts.iter().map(|part| &part.shard).collect();
         assert_eq!(shards, answer.covered.iter().collect::<Vec<_>>());
@@ -183,13 +185,14 @@
                 let parts = sent.reply.iter().flat_map(|reply| &reply.parts);
                 sent.caller == caller
                     && sent.work.version == answer.version
-                    && parts.into_iter().any(|given| given == part)
+                    && parts.into_iter().any(|received| received == part)
             });
             assert!(from_reply, "{part:?} is no part of a reply to {caller:?}");
         }
     }
 
-    /// "Not run" only if every sending of it was proved not to have run.
+    /// Checks that the verdict "not run" is given only if every sending was proved not to have
+    /// run.
     fn check_verdicts(&self, caller: Caller, answer: &Answer) {
         let sent = || self.sent.iter().filter(move |sent| sent.caller == caller);
         if answer.verdict() == Verdict::NotRun {
@@ -199,9 +202,13 @@
         for missing in &answer.missing {
             assert!(!covered.contains(&missing.shard));
             assert_ne!(missing.reason(), Reason::Unspecified, "{answer:?}");
-            let mut holding = sent().filter(|sent| sent.portion.shards.contains(&missing.shard));
+            let mut sendings_of_shard =
+                sent().filter(|sent| sent.portion.shards.contains(&missing.shard));
             if missing.verdict() == Verdict::NotRun {
-                assert!(holding.all(Sent::is_proved_not_run), "{missing:?} in {answer:?}");
+                assert!(
+                    sendings_of_shard.all(Sent::is_proved_not_run),
+                    "{missing:?} in {answer:?}"
+                );
             }
         }
         let unrepeatable = sent().any(|sent| sent.work.unrepeatable);
@@ -211,6 +218,6 @@
     }
 }
 
-fn shares_shard(one: &Portion, other: &Portion) -> bool {
+fn have_common_shard(one: &Portion, other: &Portion) -> bool {
     one.shards.iter().any(|shard| other.shards.contains(shard))
 }
--- a/crates/core/tests/gather/plans.rs
+++ b/crates/core/tests/gather/plans.rs
@@ -1,11 +1,11 @@
-//! Which requests are refused, and with what.
+//! Tests of the refusals of invalid requests.
 
 use ladder_core::gather::status;
 use ladder_core::schema::call::Request;
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::Fleet;
-use crate::session::{Session, answer, request};
+use crate::session::{Harness, only_answer, request};
 
 struct Case {
     change: fn(&mut Request),
@@ -49,10 +49,10 @@
 #[test]
 fn refusals_name_field_value_and_range() {
     for case in CASES {
-        let mut session = Session::new(&Fleet::default());
+        let mut harness = Harness::new(&Fleet::default());
         let mut asked = request("k1", "sweep", &[]);
         (case.change)(&mut asked);
-        let answer = answer(&session.call(asked));
+        let answer = only_answer(&harness.call(asked));
         assert_eq!(answer.reason(), case.reason, "{}", case.detail);
         assert_eq!(answer.verdict(), Verdict::NotRun, "{}", case.detail);
         assert_eq!(status(&answer), case.status, "{}", case.detail);
--- a/crates/core/tests/gather/refusals.rs
+++ b/crates/core/tests/gather/refusals.rs
@@ -1,4 +1,4 @@
-//! What each refusal of a portion leads to.
+//! Tests of how the machine proceeds after each refusal of a portion.
 
 use std::sync::Arc;
 
@@ -11,12 +11,14 @@
 use ladder_core::view::{Quarantine, View};
 
 use crate::fleet::Fleet;
-use crate::session::{Session, answer, answers, asked, covered, refused, request, works};
+use crate::session::{
+    Harness, answers, covering_reply, only_answer, refusal_reply, request, sent_work, start_request,
+};
 
-/// What follows.
+/// The expected action after a refusal.
 #[derive(Debug, PartialEq)]
-enum Then {
-    /// It is sent to this instance.
+enum Outcome {
+    /// The portion is sent to this instance.
     Sent(&'static str),
     /// The caller is answered with this verdict.
     Answered(Verdict),
@@ -26,11 +28,11 @@
     operation: &'static str,
     verdict: Verdict,
     reason: Reason,
-    then: Then,
+    outcome: Outcome,
 }
 
-const fn case(operation: &'static str, verdict: Verdict, reason: Reason, then: Then) -> Case {
-    Case { operation, verdict, reason, then }
+const fn case(operation: &'static str, verdict: Verdict, reason: Reason, outcome: Outcome) -> Case {
+    Case { operation, verdict, reason, outcome }
 }
 
 const NOT: Verdict = Verdict::NotRun;
@@ -38,39 +40,39 @@
 const RAN: Verdict = Verdict::Ran;
 
 const CASES: &[Case] = &[
-    case("check", NOT, Reason::NotOwner, Then::Sent("e3")),
-    case("check", NOT, Reason::Draining, Then::Sent("e3")),
-    case("check", NOT, Reason::NoServer, Then::Sent("e3")),
-    case("check", NOT, Reason::LinkFull, Then::Sent("e3")),
-    case("check", MAY, Reason::Draining, Then::Sent("e3")),
-    case("check", NOT, Reason::QueueFull, Then::Answered(NOT)),
-    case("check", NOT, Reason::ServiceLimit, Then::Answered(NOT)),
-    case("check", NOT, Reason::WouldMissDeadline, Then::Answered(NOT)),
-    case("check", NOT, Reason::TargetShed, Then::Answered(NOT)),
-    case("check", NOT, Reason::VersionRetired, Then::Answered(NOT)),
-    case("check", MAY, Reason::TargetError, Then::Answered(MAY)),
-    case("check", MAY, Reason::VersionRetired, Then::Answered(MAY)),
-    case("book", NOT, Reason::NotOwner, Then::Sent("e3")),
-    case("book", NOT, Reason::Draining, Then::Sent("e3")),
-    case("book", MAY, Reason::Draining, Then::Answered(MAY)),
-    case("book", MAY, Reason::NotOwner, Then::Answered(MAY)),
-    case("book", MAY, Reason::RepeatedKey, Then::Answered(MAY)),
-    case("book", RAN, Reason::RepeatedKey, Then::Answered(RAN)),
-    case("book", NOT, Reason::QueueFull, Then::Answered(NOT)),
+    case("check", NOT, Reason::NotOwner, Outcome::Sent("e3")),
+    case("check", NOT, Reason::Draining, Outcome::Sent("e3")),
+    case("check", NOT, Reason::NoServer, Outcome::Sent("e3")),
+    case("check", NOT, Reason::LinkFull, Outcome::Sent("e3")),
+    case("check", MAY, Reason::Draining, Outcome::Sent("e3")),
+    case("check", NOT, Reason::QueueFull, Outcome::Answered(NOT)),
+    case("check", NOT, Reason::ServiceLimit, Outcome::Answered(NOT)),
+    case("check", NOT, Reason::WouldMissDeadline, Outcome::Answered(NOT)),
+    case("check", NOT, Reason::TargetShed, Outcome::Answered(NOT)),
+    case("check", NOT, Reason::VersionRetired, Outcome::Answered(NOT)),
+    case("check", MAY, Reason::TargetError, Outcome::Answered(MAY)),
+    case("check", MAY, Reason::VersionRetired, Outcome::Answered(MAY)),
+    case("book", NOT, Reason::NotOwner, Outcome::Sent("e3")),
+    case("book", NOT, Reason::Draining, Outcome::Sent("e3")),
+    case("book", MAY, Reason::Draining, Outcome::Answered(MAY)),
+    case("book", MAY, Reason::NotOwner, Outcome::Answered(MAY)),
+    case("book", MAY, Reason::RepeatedKey, Outcome::Answered(MAY)),
+    case("book", RAN, Reason::RepeatedKey, Outcome::Answered(RAN)),
+    case("book", NOT, Reason::QueueFull, Outcome::Answered(NOT)),
 ];
 
 #[test]
-fn each_refusal_has_its_remedy() {
+fn refusal_reason_determines_recovery() {
     for case in CASES {
         let name = format!("{} {:?} {:?}", case.operation, case.verdict, case.reason);
-        let (mut session, sent) = asked(case.operation, &["c"]);
-        let refusal = refused(&sent[0].1, "s2", case.reason);
-        let out = session.reply("e2", Reply { verdict: case.verdict.into(), ..refusal });
-        let sent = works(&out);
-        let event = match &case.then {
-            Then::Sent(to) => {
+        let (mut harness, sent) = start_request(case.operation, &["c"]);
+        let refusal = refusal_reply(&sent[0].1, "s2", case.reason);
+        let out = harness.reply("e2", Reply { verdict: case.verdict.into(), ..refusal });
+        let sent = sent_work(&out);
+        let event = match &case.outcome {
+            Outcome::Sent(to) => {
                 assert_eq!(&*sent[0].0, *to, "{name}");
-                let unsent = matches!(
+                let is_before_sending = matches!(
                     case.reason,
                     Reason::NotOwner
                         | Reason::NotReady
@@ -80,13 +82,13 @@
                         | Reason::LinkFull
                         | Reason::LinkCut
                 );
-                let proved = unsent && case.verdict == Verdict::NotRun;
-                assert_eq!(sent[0].1.portions[0].repeated, !proved, "{name}");
+                let is_proved = is_before_sending && case.verdict == Verdict::NotRun;
+                assert_eq!(sent[0].1.portions[0].repeated, !is_proved, "{name}");
                 count::Event::Retry
             }
-            Then::Answered(verdict) => {
+            Outcome::Answered(verdict) => {
                 assert!(sent.is_empty(), "{name}");
-                let answer = answer(&out);
+                let answer = only_answer(&out);
                 assert_eq!(answer.verdict(), *verdict, "{name}");
                 assert_eq!(answer.reason(), case.reason, "{name}");
                 count::Event::Refusal
@@ -97,69 +99,70 @@
     }
 }
 
-/// Three of four candidates say that they are not the owner: the third refusal ends it.
+/// If each of four candidates replies that it is not the owner, the third refusal must end the
+/// portion.
 #[test]
-fn three_sendings_at_most() {
+fn portion_is_sent_at_most_three_times() {
     let mut fleet = Fleet::default();
-    fleet.sites[1].candidates.push(("e4", true));
-    let mut session = Session::new(&fleet);
-    let mut out = session.call(request("k1", "check", &["c"]));
+    fleet.services[1].candidates.push(("e4", true));
+    let mut harness = Harness::new(&fleet);
+    let mut out = harness.call(request("k1", "check", &["c"]));
     for extra in 0..3 {
-        let (to, work) = works(&out).remove(0);
+        let (to, work) = sent_work(&out).remove(0);
         assert_eq!(work.extra_calls, extra);
-        assert!(!work.portions[0].repeated, "no server has got it");
-        out = session.reply(&to, refused(&work, "s2", Reason::NotOwner));
+        assert!(!work.portions[0].repeated, "no server received it");
+        out = harness.reply(&to, refusal_reply(&work, "s2", Reason::NotOwner));
     }
-    assert_eq!(answer(&out).reason(), Reason::NotOwner);
+    assert_eq!(only_answer(&out).reason(), Reason::NotOwner);
 }
 
-/// A caller makes a repeatable operation unrepeatable for one request. That request is not sent
-/// again when the link to its owner breaks; the next one, which says nothing, is.
+/// A caller marks an idempotent operation as non-idempotent for one request. This request must not
+/// be sent again when the link to its owner breaks; the next request, without the mark, must be.
 #[test]
-fn request_can_be_made_stricter() {
+fn request_can_forbid_repetition() {
     for shards in [&["c"][..], &[]] {
-        let mut session = Session::new(&Fleet::default());
+        let mut harness = Harness::new(&Fleet::default());
         for unrepeatable in [true, false] {
             let asked = Request { unrepeatable, ..request("k1", "check", shards) };
-            session.call(asked);
-            let moved = !works(&session.link_down("e2")).is_empty();
+            harness.call(asked);
+            let moved = !sent_work(&harness.link_down("e2")).is_empty();
             assert_eq!(moved, !unrepeatable, "{shards:?}");
-            session.give(Event::View(Fleet::default().view()));
-            session.pass(3000);
+            harness.deliver(Event::View(Fleet::default().view()));
+            harness.advance(3000);
         }
     }
 }
 
-/// One half of a booking over two services ran, the other was refused: the caller must not take it
-/// for done, nor for not run.
+/// One portion of a booking over two services ran and the other was refused: the verdict must be
+/// neither "ran" nor "not run".
 #[test]
-fn booking_of_which_a_part_ran_may_have_run() {
-    let (mut session, sent) = asked("book", &["a", "c"]);
-    session.reply("e1", covered(&sent[0].1, "s1"));
-    let refusal = refused(&sent[1].1, "s2", Reason::QueueFull);
-    let answer = answer(&session.reply("e2", refusal));
+fn partly_run_booking_may_have_run() {
+    let (mut harness, sent) = start_request("book", &["a", "c"]);
+    harness.reply("e1", covering_reply(&sent[0].1, "s1"));
+    let refusal = refusal_reply(&sent[1].1, "s2", Reason::QueueFull);
+    let answer = only_answer(&harness.reply("e2", refusal));
     assert_eq!(answer.verdict(), MAY);
     assert_eq!(answer.covered, ["a"]);
 }
 
-/// A booking over two services, one of which has no live candidate: nothing is sent, so that the
-/// caller may come back.
+/// If one of the two services of a booking has no live candidate, nothing must be sent, so that
+/// the caller may retry.
 #[test]
-fn booking_that_cannot_be_whole_is_not_begun() {
+fn incomplete_booking_is_not_sent() {
     let mut fleet = Fleet::default();
-    for candidate in &mut fleet.sites[2].candidates {
+    for candidate in &mut fleet.services[2].candidates {
         candidate.1 = false;
     }
-    let mut session = Session::new(&fleet);
-    let out = session.call(request("k1", "book", &["c", "e"]));
-    assert!(works(&out).is_empty());
-    assert_eq!(answer(&out).verdict(), Verdict::NotRun);
-    let sweep = session.call(request("k2", "check", &["c", "e"]));
-    assert_eq!(works(&sweep).len(), 1, "a sweep takes what there is");
+    let mut harness = Harness::new(&fleet);
+    let out = harness.call(request("k1", "book", &["c", "e"]));
+    assert!(sent_work(&out).is_empty());
+    assert_eq!(only_answer(&out).verdict(), Verdict::NotRun);
+    let sweep = harness.call(request("k2", "check", &["c", "e"]));
+    assert_eq!(sent_work(&sweep).len(), 1, "an idempotent query is sent in part");
 }
 
-/// A caller whose connection broke repeats its booking at the same entry while the first one is
-/// open, after it ran, and after another was refused: only the last may be sent again.
+/// A caller repeats its booking with the same key at the same entry instance while the first one
+/// is open, after it ran, and after it was refused: only after the refusal may it be sent again.
 #[test]
 fn repeated_key_is_refused_unless_proved_not_run() {
     struct Case {
@@ -173,17 +176,17 @@
         Case { key: "unsure", reply: Some((MAY, Reason::TargetLost)), again: Some(MAY) },
         Case { key: "refused", reply: Some((NOT, Reason::QueueFull)), again: None },
     ];
-    let mut session = Session::new(&Fleet::default());
+    let mut harness = Harness::new(&Fleet::default());
     for case in &cases {
-        let sent = works(&session.call(request(case.key, "book", &["c"])));
+        let sent = sent_work(&harness.call(request(case.key, "book", &["c"])));
         if let Some((verdict, reason)) = case.reply {
-            let refusal = refused(&sent[0].1, "s2", reason);
-            session.reply("e2", Reply { verdict: verdict.into(), ..refusal });
+            let refusal = refusal_reply(&sent[0].1, "s2", reason);
+            harness.reply("e2", Reply { verdict: verdict.into(), ..refusal });
         }
-        let out = session.call(request(case.key, "book", &["c"]));
+        let out = harness.call(request(case.key, "book", &["c"]));
         let answer = answers(&out).pop();
         assert_eq!(answer.as_ref().map(Answer::verdict), case.again, "{}", case.key);
-        assert_eq!(works(&out).is_empty(), case.again.is_some(), "{}", case.key);
+        assert_eq!(sent_work(&out).is_empty(), case.again.is_some(), "{}", case.key);
         if let Some(answer) = answer {
             assert_eq!((answer.reason(), status(&answer)), (Reason::RepeatedKey, 409));
         }
@@ -191,7 +194,7 @@
 }
 
 #[test]
-fn status_says_what_http_clients_expect() {
+fn refusal_reasons_map_to_http_statuses() {
     let cases: [(u16, &[Reason]); 10] = [
         (400, &[Reason::Malformed]),
         (404, &[Reason::UnknownIndex, Reason::UnknownOperation, Reason::UnknownShard]),
@@ -212,44 +215,45 @@
     }
 }
 
-/// The view of a fleet in which a request is refused because servers ended under it.
-fn view_without(fleet: &Fleet, request: &Request) -> Event {
+/// Builds a view of a fleet in which a request is quarantined because servers crashed under it.
+fn view_without_instance(fleet: &Fleet, request: &Request) -> Event {
     let mut view = View::clone(&fleet.view());
     let refused = [Fingerprint::of(request)].into_iter().collect();
     view.quarantine = Arc::new(Quarantine { refused, ..Quarantine::default() });
     Event::View(Arc::new(view))
 }
 
-/// Guards against sending a poison request on, and against a time to come back that would be untrue.
+/// Guards against sending a poison request to servers, and against advising a retry that would be
+/// refused too.
 #[test]
-fn quarantined_request_is_refused_at_once() {
+fn quarantined_request_is_refused_immediately() {
     let fleet = Fleet::default();
-    let mut session = Session::new(&fleet);
-    session.give(view_without(&fleet, &request("first", "check", &[])));
-    let again = session.call(request("second", "check", &[]));
-    assert!(works(&again).is_empty());
-    let refusal = answer(&again);
+    let mut harness = Harness::new(&fleet);
+    harness.deliver(view_without_instance(&fleet, &request("first", "check", &[])));
+    let again = harness.call(request("second", "check", &[]));
+    assert!(sent_work(&again).is_empty());
+    let refusal = only_answer(&again);
     assert_eq!((refusal.verdict(), refusal.reason()), (NOT, Reason::Quarantined));
     assert_eq!((refusal.retry_after_ms, status(&refusal)), (0, 503));
     let fingerprint = Fingerprint::of(&request("third", "check", &[]));
     assert!(refusal.detail.contains(&fingerprint.to_string()), "{}", refusal.detail);
-    assert!(again.contains(&Action::Refused(fingerprint)), "it counts as asked for");
-    let other = session.call(request("other", "sweep", &[]));
-    assert!(!works(&other).is_empty(), "another request");
+    assert!(again.contains(&Action::Refused(fingerprint)), "the refusal is reported");
+    let other = harness.call(request("other", "sweep", &[]));
+    assert!(!sent_work(&other).is_empty(), "another request");
 }
 
-/// Guards against a caller who waits for a request that is refused while it is open.
+/// Guards against a caller that waits for an open request after the request was quarantined.
 #[test]
-fn quarantined_request_that_is_open_is_answered_at_once() {
+fn open_request_is_answered_when_quarantined() {
     let fleet = Fleet::default();
-    let mut session = Session::new(&fleet);
-    session.call(request("first", "check", &[]));
-    session.call(request("other", "sweep", &[]));
-    let out = session.give(view_without(&fleet, &request("first", "check", &[])));
+    let mut harness = Harness::new(&fleet);
+    harness.call(request("first", "check", &[]));
+    harness.call(request("other", "sweep", &[]));
+    let out = harness.deliver(view_without_instance(&fleet, &request("first", "check", &[])));
     let answers = answers(&out);
     assert_eq!(answers.len(), 1);
     assert_eq!(answers[0].key, "first");
     assert_eq!(answers[0].verdict(), MAY);
     let cancelled = out.iter().filter(|action| matches!(action, Action::Cancel { .. })).count();
-    assert!(cancelled > 0, "its owners are told");
+    assert!(cancelled > 0, "its owners receive a cancellation");
 }
--- a/crates/core/tests/gather/replies.rs
+++ b/crates/core/tests/gather/replies.rs
@@ -1,10 +1,12 @@
-//! Which replies enter, and why the others are dropped.
+//! Tests of which replies are accepted, and why the others are dropped.
 
 use ladder_core::schema::outcome::Reason::{StaleAnswer, WrongAnswer, WrongVersion};
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::wire::Reply;
 
-use crate::session::{answer, asked, covered, dropped, refused, request, works};
+use crate::session::{
+    covering_reply, drop_count, only_answer, refusal_reply, request, sent_work, start_request,
+};
 
 struct Case {
     name: &'static str,
@@ -22,7 +24,7 @@
     Case { name, from, change, dropped }
 }
 
-/// Replies by what is wrong with them, who sends them and how they differ from the right one.
+/// Invalid replies: what is wrong with each, who sends it and how it differs from the valid one.
 const CASES: &[Case] = &[
     case("for an earlier incarnation of this instance", "e2", |r| r.incarnation -= 1, StaleAnswer),
     case("for a query that was never asked", "e2", |r| r.query += 7, StaleAnswer),
@@ -54,50 +56,50 @@
     reply.parts.clear();
 }
 
-/// A reply comes late, twice, crossed with another or damaged. Were it taken, the caller would get
-/// what another one asked for, or a mix of versions. It is dropped and counted, and the right reply
-/// that comes after it is still taken, once.
+/// Guards against accepting a reply that is late, duplicate, for another sending or corrupted: the
+/// caller would receive another caller's parts or a mix of versions. The reply must be dropped and
+/// counted, and the valid reply after it must be accepted, once.
 #[test]
-fn only_the_reply_to_an_open_sending_enters() {
+fn only_reply_to_open_sending_is_accepted() {
     for case in CASES {
         let name = case.name;
-        let (mut session, sent) = asked("check", &["c", "d", "e"]);
-        let mut wrong = covered(&sent[0].1, "s2");
+        let (mut harness, sent) = start_request("check", &["c", "d", "e"]);
+        let mut wrong = covering_reply(&sent[0].1, "s2");
         (case.change)(&mut wrong);
-        let out = session.reply(case.from, wrong);
-        assert_eq!(out, [dropped(case.dropped)], "{name}");
-        let mut right = covered(&sent[0].1, "s2");
+        let out = harness.reply(case.from, wrong);
+        assert_eq!(out, [drop_count(case.dropped)], "{name}");
+        let mut right = covering_reply(&sent[0].1, "s2");
         right.parts.reverse();
-        assert!(session.reply("e2", right.clone()).is_empty(), "{name}");
-        let again = session.reply("e2", right);
-        assert_eq!(again, [dropped(StaleAnswer)], "{name}: again");
-        let answer = answer(&session.reply("e3", covered(&sent[1].1, "s3")));
+        assert!(harness.reply("e2", right.clone()).is_empty(), "{name}");
+        let again = harness.reply("e2", right);
+        assert_eq!(again, [drop_count(StaleAnswer)], "{name}: again");
+        let answer = only_answer(&harness.reply("e3", covering_reply(&sent[1].1, "s3")));
         assert_eq!(answer.covered, ["c", "d", "e"], "{name}");
         let bodies: Vec<&str> = answer.parts.iter().map(|part| part.body.as_str()).collect();
         assert_eq!(bodies, ["c@7", "d@7", "e@7"], "{name}");
     }
 }
 
-/// An owner's refusal arrives twice: the portion goes to the next candidate once.
+/// If an owner's refusal arrives twice, the portion must go to the next candidate once.
 #[test]
-fn refusal_that_comes_twice_moves_work_once() {
-    let (mut session, sent) = asked("check", &["c"]);
-    let refusal = refused(&sent[0].1, "s2", Reason::NotOwner);
-    assert_eq!(works(&session.reply("e2", refusal.clone())).len(), 1);
-    let out = session.reply("e2", refusal);
-    assert_eq!(out, [dropped(StaleAnswer)]);
+fn duplicate_refusal_moves_work_once() {
+    let (mut harness, sent) = start_request("check", &["c"]);
+    let refusal = refusal_reply(&sent[0].1, "s2", Reason::NotOwner);
+    assert_eq!(sent_work(&harness.reply("e2", refusal.clone())).len(), 1);
+    let out = harness.reply("e2", refusal);
+    assert_eq!(out, [drop_count(StaleAnswer)]);
 }
 
-/// Two callers ask for the same shard at once and their replies come back crossed: each gets the
-/// parts that name its own query.
+/// If the replies to two callers' requests for the same shard arrive in the opposite order, each
+/// caller must receive the parts that name its own query.
 #[test]
 fn crossed_replies_reach_their_own_callers() {
-    let (mut session, first) = asked("check", &["c"]);
-    let second = works(&session.call(request("k2", "check", &["c"])));
+    let (mut harness, first) = start_request("check", &["c"]);
+    let second = sent_work(&harness.call(request("k2", "check", &["c"])));
     for (work, key) in [(&second[0].1, "k2"), (&first[0].1, "k1")] {
-        let mut reply = covered(work, "s2");
+        let mut reply = covering_reply(work, "s2");
         reply.parts[0].body = key.to_owned();
-        let answer = answer(&session.reply("e2", reply));
+        let answer = only_answer(&harness.reply("e2", reply));
         assert_eq!((answer.key.as_str(), answer.parts[0].body.as_str()), (key, key));
     }
 }
--- a/crates/core/tests/gather/session.rs
+++ b/crates/core/tests/gather/session.rs
@@ -1,4 +1,4 @@
-//! Drives the machine and writes down what it is told and what it asks for.
+//! Test harness that drives a gathering machine and logs its events and actions.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -17,24 +17,24 @@
 /// Incarnation of the instance under test.
 pub(crate) const INCARNATION: u64 = 42;
 
-/// A machine with the record of its session.
-pub(crate) struct Session {
+/// A gathering machine with a log of its events and actions.
+pub(crate) struct Harness {
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
-    /// One line for each event and action.
+    /// Log with one line for each event and action.
     pub(crate) log: String,
     callers: u64,
 }
 
-impl Session {
-    /// A machine that has taken the view of `fleet`.
+impl Harness {
+    /// Creates a machine that has received the view of `fleet`.
     pub(crate) fn new(fleet: &Fleet) -> Self {
-        let mut session = Self::with(Settings::builder(SELF, INCARNATION).build());
-        session.give(Event::View(fleet.view()));
-        session
+        let mut harness = Self::with(Settings::builder(SELF, INCARNATION).build());
+        harness.deliver(Event::View(fleet.view()));
+        harness
     }
 
-    /// A machine without a view.
+    /// Creates a machine without a view.
     pub(crate) fn with(settings: Settings) -> Self {
         Self {
             machine: Machine::new(settings),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Hands in an event now.
-    pub(crate) fn give(&mut self, event: Event) -> Vec<Action> {
+    /// Delivers an event at the current time and returns the resulting actions.
+    pub(crate) fn deliver(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.line('>', &event_line(&event));
         self.machine.handle(self.now, event, &mut out);
@@ -55,32 +55,33 @@
         out
     }
 
-    /// Lets time pass, waking the machine whenever it asks for it.
-    pub(crate) fn pass(&mut self, millis: u64) -> Vec<Action> {
+    /// Advances the time, delivers a tick whenever the machine requests it, and returns the
+    /// resulting actions.
+    pub(crate) fn advance(&mut self, millis: u64) -> Vec<Action> {
         let end = self.now + Duration::from_millis(millis);
         let mut out = Vec::new();
         while let Some(at) = self.machine.next_wake().filter(|&at| at <= end) {
             self.now = at.max(self.now);
-            out.extend(self.give(Event::Tick));
+            out.extend(self.deliver(Event::Tick));
         }
         self.now = end;
         out
     }
 
-    /// Calls with a new caller.
+    /// Delivers a request from a new caller.
     pub(crate) fn call(&mut self, request: Request) -> Vec<Action> {
         self.callers += 1;
         let caller = Caller(self.callers);
-        self.give(Event::Call { caller, request })
+        self.deliver(Event::Call { caller, request })
     }
 
-    /// A peer replies.
+    /// Delivers a reply from a peer.
     pub(crate) fn reply(&mut self, from: &str, reply: Reply) -> Vec<Action> {
-        self.give(Event::Replies { from: from.into(), replies: vec![reply] })
+        self.deliver(Event::Replies { from: from.into(), replies: vec![reply] })
     }
 
     pub(crate) fn link_down(&mut self, name: &str) -> Vec<Action> {
-        self.give(Event::LinkDown(name.into()))
+        self.deliver(Event::LinkDown(name.into()))
     }
 
     fn line(&mut self, side: char, text: &str) {
@@ -89,11 +90,12 @@
     }
 }
 
-/// A session of the usual fleet with one request under way, and the work that was sent for it.
-pub(crate) fn asked(operation: &str, shards: &[&str]) -> (Session, Vec<(Arc<str>, Work)>) {
-    let mut session = Session::new(&Fleet::default());
-    let sent = works(&session.call(request("k1", operation, shards)));
-    (session, sent)
+/// Creates a harness for the default fleet with one request in progress; returns it with the work
+/// that was sent for the request.
+pub(crate) fn start_request(operation: &str, shards: &[&str]) -> (Harness, Vec<(Arc<str>, Work)>) {
+    let mut harness = Harness::new(&Fleet::default());
+    let sent = sent_work(&harness.call(request("k1", operation, shards)));
+    (harness, sent)
 }
 
 pub(crate) fn request(key: &str, operation: &str, shards: &[&str]) -> Request {
@@ -106,8 +108,8 @@
     }
 }
 
-/// The work messages with their receivers.
-pub(crate) fn works(actions: &[Action]) -> Vec<(Arc<str>, Work)> {
+/// Returns the work messages with their receivers.
+pub(crate) fn sent_work(actions: &[Action]) -> Vec<(Arc<str>, Work)> {
     let sends = actions.iter().filter_map(|action| match action {
         Action::Send { to, work } => Some((to.name.clone(), work.clone())),
         _ => None,
@@ -115,13 +117,13 @@
     sends.collect()
 }
 
-/// The count of a reply that is dropped.
-pub(crate) fn dropped(reason: Reason) -> Action {
+/// Returns the action that counts a dropped reply.
+pub(crate) fn drop_count(reason: Reason) -> Action {
     Action::Count(Count { event: count::Event::Drop, reason })
 }
 
-/// The only answer.
-pub(crate) fn answer(actions: &[Action]) -> Answer {
+/// Returns the answer, which must be the only one.
+pub(crate) fn only_answer(actions: &[Action]) -> Answer {
     let mut answers = answers(actions);
     assert_eq!(answers.len(), 1, "one answer in {actions:?}");
     answers.remove(0)
@@ -135,8 +137,8 @@
     answers.collect()
 }
 
-/// The reply that covers the portion of `service` in `work`.
-pub(crate) fn covered(work: &Work, service: &str) -> Reply {
+/// Builds the reply that covers the portion of `service` in `work`.
+pub(crate) fn covering_reply(work: &Work, service: &str) -> Reply {
     let portion = work.portions.iter().find(|portion| portion.service == service);
     let shards = &portion.expect("the work has a portion of the service").shards;
     let part = |shard: &String| Part {
@@ -148,12 +150,12 @@
         verdict: Verdict::Ran.into(),
         parts: shards.iter().map(part).collect(),
         calls: 1,
-        ..refused(work, service, Reason::Unspecified)
+        ..refusal_reply(work, service, Reason::Unspecified)
     }
 }
 
-/// The reply that refuses it with proof that it did not run.
-pub(crate) fn refused(work: &Work, service: &str, reason: Reason) -> Reply {
+/// Builds the reply that refuses the portion of `service` with proof that it did not run.
+pub(crate) fn refusal_reply(work: &Work, service: &str, reason: Reason) -> Reply {
     Reply {
         query: work.query,
         round: work.round,
@@ -166,8 +168,8 @@
     }
 }
 
-/// Shards with reasons, as `a:QUEUE_FULL`.
-pub(crate) fn missing(answer: &Answer) -> String {
+/// Formats the missing shards with their reasons and verdicts, such as `a:QUEUE_FULL/NOT_RUN`.
+pub(crate) fn missing_summary(answer: &Answer) -> String {
     let missing = answer.missing.iter().map(missing_text);
     missing.collect::<Vec<_>>().join(" ")
 }
@@ -249,7 +251,7 @@
 fn answer_text(answer: &Answer) -> String {
     let Answer { key, version, retry_after_ms, instance, .. } = answer;
     let (verdict, reason) = (verdict_text(answer.verdict()), short(answer.reason()));
-    let (covered, missing) = (answer.covered.join(" "), missing(answer));
+    let (covered, missing) = (answer.covered.join(" "), missing_summary(answer));
     let parts = parts_text(&answer.parts);
     let content = format!("covered=[{covered}] missing=[{missing}] parts=[{parts}]");
     let status = status(answer);
--- a/crates/core/tests/gather/stop.rs
+++ b/crates/core/tests/gather/stop.rs
@@ -1,25 +1,25 @@
-//! What callers are told when the graceful stop comes to its bound.
+//! Test of the answers at the time limit of the graceful shutdown.
 
 use ladder_core::gather::Event;
 use ladder_core::schema::outcome::{Reason, Verdict};
 
-use crate::session::{answer, asked};
+use crate::session::{only_answer, start_request};
 
-/// A caller sees its connection break and asks again, and a booking runs twice.
+/// Guards against a booking that runs twice because its caller saw a broken connection and sent
+/// the booking again.
 ///
-/// An instance is told to stop while requests are open; the bound passes and the process ends.
-/// The cause would be a stop that says nothing of the requests it cuts: each has to be answered
-/// with its verdict first.
+/// An instance shuts down while requests are open, and its process ends at the time limit. Each
+/// open request must be answered with its verdict before.
 #[test]
-fn bound_answers_everything_open_with_its_verdict() {
+fn shutdown_limit_answers_open_requests() {
     for operation in ["check", "book"] {
-        let (mut session, _) = asked(operation, &["c"]);
-        session.give(Event::Drain);
-        let out = session.give(Event::Cut);
-        let answer = answer(&out);
+        let (mut harness, _) = start_request(operation, &["c"]);
+        harness.deliver(Event::Drain);
+        let out = harness.deliver(Event::Cut);
+        let answer = only_answer(&out);
         assert_eq!(answer.verdict(), Verdict::MayHaveRun, "{operation}");
         assert_eq!(answer.missing.len(), 1, "{operation}");
         assert_eq!(answer.missing[0].reason(), Reason::Draining, "{operation}");
-        assert_eq!(session.machine.open(), 0, "{operation}");
+        assert_eq!(harness.machine.open(), 0, "{operation}");
     }
 }
