--- a/crates/core/src/gather.rs
+++ b/crates/core/src/gather.rs
@@ -1,7 +1,12 @@
 //! Accepts callers' requests, plans them over shards, sends the portions to their owners and
 //! gathers the replies into answers.
 //!
-//! A query passes through these modules: [`check`] refuses requests that exceed a bound,
+//! A portion is the sub-request of a query to one service. The owner of a service is the instance
+//! that queues and sends all calls to the service's servers. A sending is one transmission of a
+//! portion to an instance; a portion may have several sendings. A sweep is a query that is fanned
+//! out over many services.
+//!
+//! A query passes through these modules: [`check`] refuses requests that exceed a limit,
 //! [`snapshot`] pins one index version, [`plan`] groups the version's shards by service,
 //! [`machine`] sends each service's portion to the owner of the service and takes the replies that
 //! [`reply`] finds valid, [`answer`] builds the answer. [`peers`] tracks the reply times of each
--- a/crates/core/src/gather/answer.rs
+++ b/crates/core/src/gather/answer.rs
@@ -1,4 +1,4 @@
-//! Builds the answers to callers.
+//! Builds the answers that the gathering machine sends to callers.
 
 use ladder_schema::call::{Answer, Missing, Part};
 use ladder_schema::outcome::{Reason, Verdict};
@@ -148,8 +148,8 @@
     if lost { Reason::OwnerLost } else { reason }
 }
 
-/// Weakens `NotRun` to `MayHaveRun` if the same work may have run under an index version that the
-/// query abandoned.
+/// Weakens the verdict `NotRun` to `MayHaveRun` if the same work may have run under an index
+/// version that the query abandoned.
 fn including_earlier_versions(earlier_may_have_run: bool, verdict: Verdict) -> Verdict {
     match verdict {
         Verdict::NotRun if earlier_may_have_run => Verdict::MayHaveRun,
--- a/crates/core/src/gather/check.rs
+++ b/crates/core/src/gather/check.rs
@@ -10,7 +10,7 @@
 /// has run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
-    /// Reason by which the refusal is counted.
+    /// Reason of the refusal, as counted in metrics and returned to the caller.
     pub(crate) reason: Reason,
     /// Message that names the field, its value and the allowed range.
     pub(crate) detail: String,
--- a/crates/core/src/gather/event.rs
+++ b/crates/core/src/gather/event.rs
@@ -14,23 +14,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Caller(pub u64);
 
-/// Input of the gathering machine.
+/// Events that the gathering machine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A caller's request arrived and was decoded.
     Call {
-        /// The caller to answer.
+        /// The caller that has to be answered.
         caller: Caller,
-        /// The decoded request.
+        /// The caller's decoded request.
         request: call::Request,
     },
     /// The caller closed its connection.
     Gone(Caller),
-    /// Replies to portions arrived from one instance.
+    /// Replies to portions (sub-requests to single services) arrived from one instance.
     Replies {
         /// Name of the instance that sent the replies.
         from: Arc<str>,
-        /// The replies.
+        /// Replies to portions; replies whose records were merged follow one another.
         replies: Vec<wire::Reply>,
     },
     /// A peer reports that it is still aggregating parts whose target time has come.
@@ -42,49 +42,49 @@
     },
     /// The link to a peer broke: work sent to the peer may or may not have arrived.
     LinkDown(Arc<str>),
-    /// A new view takes effect.
+    /// A new view (immutable snapshot of the catalogue, servers and owners) takes effect.
     View(Arc<View>),
     /// The process was paused for about this long.
     Paused(Duration),
-    /// Refuse new requests and finish the open ones.
+    /// The instance starts its graceful shutdown: refuse new requests and finish the open ones.
     Drain,
     /// The time limit of the graceful shutdown has passed: answer the open requests with the
     /// replies received so far.
     Cut,
-    /// The time returned by `Machine::next_wake` has come.
+    /// The time returned by `Machine::next_wake` has come: handle the timers that are due.
     Tick,
 }
 
-/// Output of the gathering machine, for the caller of `Machine::handle` to execute.
+/// Actions that the gathering machine requests from the code that runs it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer a caller; there is exactly one for each [`Event::Call`] unless the caller
-    /// disconnects.
+    /// Answer a caller; there is exactly one such action for each [`Event::Call`] unless the
+    /// caller disconnects.
     Answer {
-        /// The caller to answer.
+        /// The caller that receives the answer.
         caller: Caller,
-        /// The answer.
+        /// The answer for the caller.
         answer: call::Answer,
     },
-    /// Send work to an owner, which may be this instance.
+    /// Send portions of a query to the owner of their services, which may be this instance.
     Send {
-        /// The owner.
+        /// The instance that receives the work message.
         to: Peer,
-        /// The work message.
+        /// The work message, which contains the portions.
         work: wire::Work,
     },
     /// Cancel all portions of a query that are still open at an owner.
     Cancel {
-        /// The owner.
+        /// The instance that receives the cancellation.
         to: Peer,
-        /// The message that names the query.
+        /// The cancellation message, which names the query.
         cancel: wire::Cancel,
     },
     /// A request with this fingerprint, which is quarantined because server processes crashed
     /// under it, was received again and refused.
     Refused(Fingerprint),
-    /// Log the steps of a query.
+    /// Write the steps of a query to the log.
     Log(Box<Explanation>),
-    /// Increment a counter.
+    /// Increment a counter of the metrics.
     Count(Count),
 }
--- a/crates/core/src/gather/failover.rs
+++ b/crates/core/src/gather/failover.rs
@@ -1,4 +1,4 @@
-//! Moves portions away from owners that are lost or silent.
+//! Moves portions (sub-requests to single services) away from owners that are lost or silent.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// that takes seconds would be sent to every candidate within the first fractions of a second.
 const SILENCE_DEADLINE_DIVISOR: u32 = 16;
 
-/// How certain it is that an owner is lost.
+/// Kind of evidence that the owner of a portion is lost, by increasing certainty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnerLoss {
     /// Nothing arrived from the owner for longer than its silence limit; it may still reply.
@@ -34,7 +34,7 @@
     /// The membership does not consider the owner alive: it is dead, or it is leaving and finishes
     /// its open work.
     NotLive,
-    /// The link to the owner broke.
+    /// The link to the owner broke, so that no reply can arrive on it.
     LinkBroken,
 }
 
--- a/crates/core/src/gather/finish.rs
+++ b/crates/core/src/gather/finish.rs
@@ -1,5 +1,5 @@
-//! Ends queries: when all portions are settled, when the time has passed, or when enough shards
-//! are covered.
+//! Ends queries: when no portion is open, when the time has passed, or when enough shards are
+//! covered.
 
 use std::sync::Arc;
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Handles the timers that are due.
+    /// Handles the timers of queries and peers that are due.
     pub(crate) fn serve_timers(&mut self, now: Instant, out: &mut Vec<Action>) {
         while let Some((at, timer)) = self.timers.due(now) {
             match timer {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Sends a cancellation of a query to these peers.
+    /// Sends a cancellation of a query to each of the peers in `receivers`.
     pub(super) fn send_cancel(&self, key: QueryKey, receivers: &[PeerKey], out: &mut Vec<Action>) {
         let (query, incarnation) = (self.queries[key].number, self.settings.incarnation);
         for state in receivers.iter().filter_map(|peer| self.peers.get(*peer)) {
--- a/crates/core/src/gather/forward.rs
+++ b/crates/core/src/gather/forward.rs
@@ -56,7 +56,7 @@
 }
 
 impl RoutePlanner {
-    /// Plans a message, or returns why it is refused.
+    /// Plans a forwarded message, or returns why it is refused.
     pub(crate) fn plan(
         &mut self,
         view: &View,
--- a/crates/core/src/gather/history.rs
+++ b/crates/core/src/gather/history.rs
@@ -1,4 +1,4 @@
-//! Steps of the most recent queries, for operators.
+//! History of the most recent queries, which operators can inspect.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -35,9 +35,9 @@
     },
     /// An index version was pinned.
     Pinned {
-        /// The pinned version.
+        /// Number of the pinned index version.
         version: u64,
-        /// Number of portions, one per service.
+        /// Number of portions of the query, one per service.
         portions: u32,
         /// Number of requested shards that are unavailable in the pinned version.
         missing: u32,
@@ -54,25 +54,25 @@
         /// first sending.
         again: Option<Reason>,
     },
-    /// A valid reply to a portion arrived.
+    /// A valid reply to a portion arrived from an instance.
     Replied {
         /// Name of the instance that sent the reply.
         from: Arc<str>,
         /// Name of the portion's service.
         service: Arc<str>,
-        /// Verdict of the reply.
+        /// Verdict of the reply: whether the portion ran.
         verdict: Verdict,
-        /// Reason of the reply; unspecified if the portion is covered.
+        /// Reason of the reply; unspecified if the reply covers the portion.
         reason: Reason,
     },
-    /// The query no longer relies on portions at an owner.
+    /// The query no longer relies on its portions at an owner.
     Lost {
         /// Name of the owner's instance.
         owner: Arc<str>,
         /// Number of portions that are no longer relied on.
         portions: u32,
     },
-    /// The request was refused before any of it was sent.
+    /// The request was refused before any part of it was sent.
     Refused {
         /// Message that names the field or version because of which the request was refused.
         detail: Arc<str>,
@@ -86,34 +86,34 @@
     Gone,
     /// The caller was answered.
     Answered {
-        /// Verdict of the answer.
+        /// Verdict of the answer: whether the request ran.
         verdict: Verdict,
-        /// Reason of a refusal; unspecified otherwise.
+        /// Reason of the answer if the request was refused; unspecified otherwise.
         reason: Reason,
-        /// Number of covered shards.
+        /// Number of shards that the answer covers.
         covered: u32,
-        /// Number of missing shards.
+        /// Number of shards that are missing from the answer.
         missing: u32,
     },
 }
 
-/// A step of a query with its time.
+/// A step of a query with the time at which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamp {
-    /// When the step happened.
+    /// Time at which the step happened.
     pub at: Instant,
-    /// The step.
+    /// The step of the query.
     pub step: Step,
 }
 
 /// Steps of one query in order, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// The request key.
+    /// Request key of the query.
     pub key: String,
     /// Query number, as sent to owners, that the query had before any restart.
     pub query: u64,
-    /// The steps in order.
+    /// Steps of the query, oldest first.
     pub steps: Vec<Stamp>,
     /// Number of steps that were left out because the query has too many.
     pub omitted: u32,
@@ -140,7 +140,7 @@
     }
 }
 
-/// Ring buffer of the histories of the most recent queries.
+/// Ring buffer with the histories of the most recent queries.
 #[derive(Debug)]
 pub(crate) struct History {
     ring: VecDeque<Explanation>,
@@ -148,7 +148,7 @@
     ///
     /// Invariant: `ring.len() <= capacity`.
     capacity: usize,
-    /// Identifier of the oldest history in the ring.
+    /// Identifier of the oldest history in the ring buffer.
     oldest: u64,
 }
 
@@ -190,7 +190,7 @@
         explanation.steps.push(Stamp { at, step });
     }
 
-    /// Returns a history that has not left the ring.
+    /// Returns the history with this identifier if it has not left the ring buffer.
     pub(crate) fn get(&self, id: u64) -> Option<&Explanation> {
         self.ring.get(id.checked_sub(self.oldest)? as usize)
     }
--- a/crates/core/src/gather/machine.rs
+++ b/crates/core/src/gather/machine.rs
@@ -120,7 +120,7 @@
         self.timers.next()
     }
 
-    /// Returns the number of open queries.
+    /// Returns the number of open queries, which have not been answered yet.
     pub fn open(&self) -> usize {
         self.queries.len()
     }
--- a/crates/core/src/gather/near.rs
+++ b/crates/core/src/gather/near.rs
@@ -22,7 +22,8 @@
 
 /// Weight of one reply in the moving average of a service's utilization.
 const UTILIZATION_SMOOTHING: f64 = 0.2;
-/// Interval at which a group's delegation is decided again.
+/// Interval at which it is decided again whether one instance calls a group's servers for all
+/// instances.
 const DECISION_INTERVAL: Duration = Duration::from_millis(100);
 /// Utilization (requests in progress divided by slots) below which every instance calls a group's
 /// servers itself again, and above which one instance calls them for all.
@@ -41,7 +42,7 @@
 /// A peer that aggregates parts of a sweep, with the parts' services.
 #[derive(Clone, Debug)]
 pub(crate) struct PartialAggregator {
-    /// The peer that aggregates.
+    /// The peer that calls the servers and aggregates their responses.
     pub(crate) peer: Peer,
     /// Names of the services whose parts the peer aggregates.
     pub(crate) services: Arc<Set<Arc<str>>>,
@@ -50,7 +51,7 @@
 /// Parts of an index that one instance can call and aggregate together.
 #[derive(Clone, Debug)]
 struct Group {
-    /// Names of the services of the group's parts.
+    /// Names of the services whose parts belong to the group.
     services: Arc<Set<Arc<str>>>,
     /// Instances that may aggregate the group, the preferred one first; `None` stands for this
     /// instance.
@@ -60,7 +61,7 @@
     /// Whether some of the group's servers have too few connections for every instance to call
     /// them.
     scarce: bool,
-    /// When `delegated` is decided again.
+    /// When it is decided again whether one instance calls the group's servers for all instances.
     next_decision_at: Instant,
 }
 
@@ -93,9 +94,9 @@
 #[derive(Debug)]
 struct ZoneGroups {
     groups: Vec<Group>,
-    /// Whether this instance's zone is one of the zones.
+    /// Whether this instance's zone is one of the zones of the groups' servers.
     includes_own_zone: bool,
-    /// Whether some peer is in one of the zones.
+    /// Whether some peer is in one of the zones of the groups' servers.
     has_peer: bool,
 }
 
@@ -104,9 +105,10 @@
     /// peers.
     ///
     /// If a group's servers are busy or have few connections, the group goes to its own
-    /// aggregator. Otherwise fewer messages matter more than a single view of each server: this
-    /// instance calls the servers itself if the set of zones includes its own, and sends the parts
-    /// of all other such groups to one peer together.
+    /// aggregator. For the other groups, fewer messages matter more than a single view of each
+    /// server: if the set of zones includes this instance's zone, this instance calls the servers
+    /// itself; otherwise the parts of all these groups go to one peer together, provided that a
+    /// peer is in one of the zones and that there are at least `MIN_DELEGATED_PARTS` parts.
     fn assign(
         &self,
         now: Instant,
@@ -129,7 +131,7 @@
     }
 }
 
-/// The groups of one index.
+/// The groups of the parts of one index.
 #[derive(Debug)]
 struct IndexGroups {
     /// Keeps the index alive, since its address is the key in `by_index`.
@@ -142,16 +144,16 @@
 pub(crate) struct AggregatorSelector {
     /// Groups by the address of the index: routes of one version may have equal names.
     by_index: Map<usize, IndexGroups>,
-    /// Number of sweeps, so that peers are used in turn.
+    /// Number of sweeps so far, which selects the peers in turn.
     rotation: usize,
     /// Moving average of the utilization (requests in progress divided by slots) of each service's
     /// servers.
     utilization: Map<Arc<str>, f64>,
-    /// Zones of the other instances by name.
+    /// Availability zones of the other instances, by the instance's name.
     zones: Map<Arc<str>, Arc<str>>,
 }
 
-/// This instance as a candidate for aggregation.
+/// This instance as a candidate for partial aggregation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LocalInstance<'a> {
     /// Name of this instance.
@@ -173,7 +175,7 @@
         self.utilization.retain(|service, _| view.service(service).is_some());
     }
 
-    /// Returns the zone of another instance.
+    /// Returns the availability zone of another instance by its name.
     pub(crate) fn zone(&self, name: &str) -> Option<&Arc<str>> {
         self.zones.get(name)
     }
@@ -242,13 +244,13 @@
     })
 }
 
-/// An instance that may aggregate parts.
+/// An instance that may aggregate parts of a sweep.
 #[derive(Clone, Copy, Debug)]
 struct Candidate<'a> {
     name: &'a str,
     zone: &'a str,
     millicores: u32,
-    /// The instance as a peer; `None` for this instance.
+    /// Name and address of the instance as a peer; `None` for this instance.
     peer: Option<&'a Peer>,
 }
 
--- a/crates/core/src/gather/peers.rs
+++ b/crates/core/src/gather/peers.rs
@@ -31,7 +31,7 @@
 /// Interval between probes of a silent peer.
 const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// State of one peer.
+/// State of one peer: its open portions, silence clock, probes and reply times.
 #[derive(Debug)]
 pub(crate) struct PeerState {
     /// Name and address of the peer.
@@ -41,12 +41,12 @@
     pub(crate) is_local: bool,
     /// Number of portions sent to the peer that have no reply yet and are still relied on.
     open_portions: u32,
-    /// Since when a message from the peer has been due; `None` exactly when `open_portions` is
-    /// zero.
+    /// Since when nothing has arrived from the peer although replies are due; `None` exactly when
+    /// `open_portions` is zero.
     waiting_since: Option<Instant>,
-    /// Until when the peer receives no work except probes.
+    /// Time until which the peer receives no work except probes.
     silent_until: Option<Instant>,
-    /// When the peer may be probed next.
+    /// Earliest time of the next probe of a silent peer.
     next_probe_at: Instant,
     /// Due time of the peer's timer in the machine's timer set, if one is set.
     pub(crate) timer: Option<Instant>,
@@ -79,7 +79,7 @@
     }
 }
 
-/// All peers that work was sent to.
+/// States of all peers that work was sent to.
 #[derive(Debug)]
 pub(crate) struct Peers {
     /// Name of this instance.
@@ -123,17 +123,18 @@
         self.keys.get(name).copied()
     }
 
-    /// Returns the state of a peer.
+    /// Returns the state of a peer, if the peer is known.
     pub(crate) fn get(&self, key: PeerKey) -> Option<&PeerState> {
         self.states.get(key)
     }
 
-    /// Returns the mutable state of a peer.
+    /// Returns the mutable state of a peer, if the peer is known.
     pub(crate) fn get_mut(&mut self, key: PeerKey) -> Option<&mut PeerState> {
         self.states.get_mut(key)
     }
 
-    /// Records that portions were sent to a peer.
+    /// Records that portions were sent to a peer, and starts its silence clock if it is not
+    /// running.
     pub(crate) fn record_sent(&mut self, key: PeerKey, now: Instant, portions: u32) {
         let state = &mut self.states[key];
         state.open_portions += portions;
--- a/crates/core/src/gather/plan.rs
+++ b/crates/core/src/gather/plan.rs
@@ -21,7 +21,7 @@
     pub(crate) unrepeatable: bool,
     /// Whether the query may use its whole deadline in order to be complete.
     pub(crate) complete: bool,
-    /// Time for which the caller waits.
+    /// Time from the arrival of the request for which the caller waits.
     pub(crate) deadline: Duration,
 }
 
@@ -49,13 +49,13 @@
 /// The plan of a request: which shards to request from which services, and under which terms.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// The pinned index version.
+    /// The pinned index version, from which all shards are answered.
     pub(crate) index: Arc<Index>,
     /// Requested shards of each service, sorted by the services' names.
     pub(crate) service_shards: Arc<[Arc<ServiceShards>]>,
-    /// Requested shards that are unavailable.
+    /// Requested shards that are unavailable in the pinned version.
     pub(crate) missing: Vec<call::Missing>,
-    /// Terms of the query.
+    /// Terms under which the query runs.
     pub(crate) terms: Terms,
     /// Route of a forwarded message; `None` for other requests.
     pub(crate) route: Option<Arc<Route>>,
@@ -70,7 +70,7 @@
 }
 
 impl Planner {
-    /// Plans a checked request that has not abandoned any version.
+    /// Plans a checked request for the first time, before it has abandoned any version.
     pub(crate) fn first_plan(
         &mut self,
         view: &View,
@@ -97,7 +97,7 @@
         Ok(plan)
     }
 
-    /// Discards all cached plans, which belong to the previous view.
+    /// Discards all cached plans when a new view takes effect.
     pub(crate) fn clear(&mut self) {
         self.plans.clear();
     }
--- a/crates/core/src/gather/quantile.rs
+++ b/crates/core/src/gather/quantile.rs
@@ -11,7 +11,7 @@
 /// Number of samples after which all counts are halved, so that the estimate follows the last few
 /// hundred samples.
 const HALVING_SAMPLES: u32 = 1024;
-/// Minimum number of samples for an estimate.
+/// Minimum number of samples before the 99th percentile is estimated.
 const MIN_SAMPLES: u32 = 32;
 
 /// Histogram of reply times with exponentially growing buckets, in which old counts are halved
--- a/crates/core/src/gather/query.rs
+++ b/crates/core/src/gather/query.rs
@@ -1,4 +1,4 @@
-//! State of one query.
+//! State of one query and of its portions (sub-requests to single services).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
     pub(crate) struct QueryKey;
 }
 
-/// Progress of one sending of a portion.
+/// Progress of one sending of a portion to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Progress {
     /// The owner has not replied yet, and its reply is relied on.
@@ -31,11 +31,11 @@
     Overdue,
     /// The link to the owner broke: a reply is still accepted, but not awaited.
     Lost,
-    /// A reply was accepted.
+    /// A reply to the sending was accepted.
     Answered,
 }
 
-/// One sending of a portion to an instance.
+/// One sending of a portion to an instance; a portion may be sent to several instances.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sending {
     /// Number of the work message within the query; the reply repeats it.
@@ -44,11 +44,11 @@
     pub(crate) peer: PeerKey,
     /// When the portion was sent.
     pub(crate) at: Instant,
-    /// Progress of the sending.
+    /// Progress of this sending of the portion.
     pub(crate) progress: Progress,
     /// Whether the peer is to aggregate the portion with others.
     pub(crate) is_aggregated: bool,
-    /// Whether the peer has reported that it is still aggregating.
+    /// Whether the peer that aggregates the portion has reported that it is still working on it.
     pub(crate) has_reported: bool,
 }
 
@@ -60,10 +60,10 @@
     }
 }
 
-/// Outcome of a portion.
+/// Outcome of a portion of a query.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PortionState {
-    /// A reply is awaited.
+    /// A reply to the portion is awaited.
     Open,
     /// The portion is covered: exactly one part for each of its shards, in their order, all from
     /// one reply.
@@ -149,7 +149,7 @@
     }
 }
 
-/// Identifiers of a query.
+/// Identifiers of a query in messages, in the history and by content.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueryIds {
     /// Number of the query in messages to owners.
@@ -160,10 +160,10 @@
     pub(crate) fingerprint: Fingerprint,
 }
 
-/// An open query.
+/// A query that has not been answered yet.
 #[derive(Debug)]
 pub(crate) struct Query {
-    /// The caller to answer.
+    /// The caller that has to be answered.
     pub(crate) caller: Caller,
     /// The caller's request.
     pub(crate) request: call::Request,
@@ -176,7 +176,7 @@
     pub(crate) fingerprint: Fingerprint,
     /// The pinned index version, from which all parts of the answer are taken.
     pub(crate) index: Arc<Index>,
-    /// Terms of the query.
+    /// Terms under which the query runs.
     pub(crate) terms: Terms,
     /// Route of a forwarded message; `None` for other requests.
     pub(crate) route: Option<Arc<Route>>,
@@ -185,7 +185,7 @@
     /// Invariant: the shards of the portions and those of `missing` together are the requested
     /// shards, each once.
     pub(crate) portions: Vec<Portion>,
-    /// Requested shards that are in no portion.
+    /// Requested shards that are unavailable and belong to no portion.
     pub(crate) missing: Vec<call::Missing>,
     /// From this time on the query answers with nearly all shards; equal to `answer_at` if the
     /// query prefers completeness.
@@ -196,7 +196,7 @@
     pub(crate) deadline: Instant,
     /// Due time of the query's timer in the machine's timer set.
     pub(crate) timer: Instant,
-    /// Number of work messages sent under `number`.
+    /// Number of work messages sent under the query's current number.
     pub(crate) rounds: u32,
     /// How often portions were sent again or hedged, over all index versions; portions that are
     /// sent together count once.
@@ -205,13 +205,13 @@
     ///
     /// Invariant: equals the number of `portions` with `is_open`.
     pub(crate) open_portions: usize,
-    /// Number of requested shards.
+    /// Number of shards that the caller requested.
     pub(crate) requested_shards: usize,
-    /// Number of shards of the open portions.
+    /// Number of requested shards whose portion is still open.
     pub(crate) open_shards: usize,
-    /// Number of covered shards.
+    /// Number of requested shards that valid replies cover.
     pub(crate) covered_shards: usize,
-    /// Longest retry delay that a refusal advised, in milliseconds.
+    /// Longest retry delay that any refusal of a portion advised, in milliseconds.
     pub(crate) retry_after_ms: u32,
     /// Index versions that the query abandoned because a server no longer serves them.
     pub(crate) retired_versions: Vec<u64>,
@@ -254,7 +254,7 @@
 }
 
 impl Query {
-    /// Creates a query that has not sent anything yet.
+    /// Creates a query for a planned request; no portion has been sent yet.
     pub(crate) fn new(
         now: Instant,
         caller: Caller,
@@ -365,7 +365,7 @@
         portion.state = state;
     }
 
-    /// Returns the position of the portion of a service.
+    /// Returns the position of the portion for a service, if the query has one.
     pub(crate) fn portion_of_service(&self, service: &str) -> Option<usize> {
         self.portions.binary_search_by(|portion| (*portion.requested.service).cmp(service)).ok()
     }
--- a/crates/core/src/gather/reply.rs
+++ b/crates/core/src/gather/reply.rs
@@ -14,12 +14,12 @@
 use super::query::{Portion, Progress, Query};
 use crate::collections::Map;
 
-/// Location of a sending within a query.
+/// Location of one sending of a portion within a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SendingLocation {
-    /// Position of the portion in the query.
+    /// Position of the portion among the query's portions.
     pub(crate) portion: usize,
-    /// Position of the sending in the portion.
+    /// Position of the sending among the portion's sendings.
     pub(crate) sending: usize,
 }
 
--- a/crates/core/src/gather/send.rs
+++ b/crates/core/src/gather/send.rs
@@ -1,4 +1,4 @@
-//! Sends portions to owners.
+//! Sends the portions of queries to the owners of their services.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use crate::time::{Instant, micros};
 use crate::view::{Candidate, Peer};
 
-/// Maximum number of sendings of one portion.
+/// Maximum number of times that one portion is sent.
 pub(crate) const MAX_SENDINGS: usize = 3;
 /// Time for a reply to return from an owner, in microseconds. It is subtracted from the owner's
 /// budget, so that the owner's reply arrives before this instance has to answer.
--- a/crates/core/src/gather/settings.rs
+++ b/crates/core/src/gather/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the gathering machine.
+//! Settings of the gathering machine and their builder.
 
 use std::sync::Arc;
 
--- a/crates/core/src/gather/snapshot.rs
+++ b/crates/core/src/gather/snapshot.rs
@@ -12,7 +12,7 @@
 /// A pinned index version with the requested shards that are available in it.
 #[derive(Clone, Debug)]
 pub(crate) struct Pin {
-    /// The index version and its shard map.
+    /// The pinned index version with its shard map.
     pub(crate) index: Arc<Index>,
     /// Positions in `index.shards` of the requested shards that some server holds, ascending.
     pub(crate) held: Vec<u32>,
@@ -22,7 +22,7 @@
 }
 
 impl Pin {
-    /// Returns whether every requested shard is available.
+    /// Returns whether every requested shard is available in the version.
     pub(crate) fn is_complete(&self) -> bool {
         self.missing.is_empty()
     }
--- a/crates/core/src/gather/take.rs
+++ b/crates/core/src/gather/take.rs
@@ -16,13 +16,13 @@
 use crate::count;
 use crate::time::Instant;
 
-/// Maximum number of index versions that a query abandons.
+/// Maximum number of index versions that one query abandons because they are retired.
 const MAX_RESTARTS: usize = 2;
 
 /// How to proceed after the refusal of a portion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Recovery {
-    /// Send the portion to another candidate.
+    /// Send the refused portion to another candidate.
     NextCandidate,
     /// Restart the whole query on another index version.
     RestartQuery,
--- a/crates/core/src/gather/timers.rs
+++ b/crates/core/src/gather/timers.rs
@@ -6,23 +6,23 @@
 use super::query::QueryKey;
 use crate::time::Instant;
 
-/// The query or peer that a timer belongs to.
+/// The query or peer for which a timer was set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The query has to be checked for an answer.
+    /// Timer of a query: check whether the query has to be answered.
     Query(QueryKey),
-    /// The peer may have exceeded its silence limit.
+    /// Timer of a peer: check whether the peer has exceeded its silence limit.
     Peer(PeerKey),
 }
 
-/// An ordered set of timers.
+/// Timers in the order of their due times.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     set: BTreeSet<(Instant, Timer)>,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`.
     pub(crate) fn add(&mut self, at: Instant, timer: Timer) {
         self.set.insert((at, timer));
     }
--- a/crates/core/tests/gather/any_order.rs
+++ b/crates/core/tests/gather/any_order.rs
@@ -121,7 +121,7 @@
             6 => drop(reply.parts.pop()),
             7 => reply.parts.extend(reply.parts.first().cloned()),
             8 => reply.service = "s2".to_owned(),
-            // This change is valid: parts may be in any order.
+            // Reversing the parts keeps the reply valid: parts may be in any order.
             9 => reply.parts.reverse(),
             _ => {}
         }
@@ -223,7 +223,7 @@
         for &step in steps {
             simulation.apply_step(step);
         }
-        // Without further events, all calls are answered.
+        // Once no events arrive, all calls must be answered by their deadlines.
         simulation.advance(255);
         simulation.advance(255);
         assert_eq!(simulation.machine.open(), 0);
--- a/crates/core/tests/gather/fleet.rs
+++ b/crates/core/tests/gather/fleet.rs
@@ -7,7 +7,7 @@
 use ladder_core::schema::publication::{Holding, Index, Shard};
 use ladder_core::view::{Candidate, Peer, Server, Service, View};
 
-/// Name of the index in the tests.
+/// Name of the published index in the tests.
 pub(crate) const INDEX: &str = "docks";
 /// Name of the instance under test.
 pub(crate) const SELF: &str = "e1";
@@ -51,7 +51,7 @@
 }
 
 impl Fleet {
-    /// Marks an instance as not live.
+    /// Marks an instance as not live in the candidates of all services.
     pub(crate) fn without_instance(mut self, instance: &str) -> Self {
         for spec in &mut self.services {
             for candidate in &mut spec.candidates {
@@ -71,7 +71,7 @@
         self
     }
 
-    /// Builds the view.
+    /// Builds the view that the gathering machine receives.
     pub(crate) fn view(&self) -> Arc<View> {
         let mut view = View { generation: 1, revision: 1, ready: self.ready, ..View::default() };
         for spec in &self.services {
--- a/crates/core/tests/gather/forward.rs
+++ b/crates/core/tests/gather/forward.rs
@@ -124,12 +124,12 @@
     bytes.iter().flat_map(|byte| [*byte; 16]).collect()
 }
 
-/// Starts the sweep and returns the work message.
+/// Starts a sweep over three services and returns the work message.
 fn start_sweep(harness: &mut Harness) -> Work {
     sent_work(&harness.call(message(HOST, "/docks/all"))).remove(0).1
 }
 
-/// A message with the services that it must be sent to.
+/// A message and the services to which it must be sent.
 struct Case {
     host: &'static str,
     target: &'static str,
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/near.rs
@@ -23,12 +23,12 @@
 /// Version of the routing table.
 const VERSION: u64 = 7;
 
-/// Contents of the view of a test case.
+/// Contents of the view in a test case.
 #[derive(Clone)]
 pub(crate) struct ViewFixture {
     /// Zones of the servers of each part.
     pub(crate) parts: Vec<Vec<&'static str>>,
-    /// Peers with their zones.
+    /// Names of the peers, each with its zone.
     pub(crate) peers: Vec<(&'static str, &'static str)>,
     /// Processor capacity of the peers and of this instance, in thousandths of a core.
     pub(crate) millicores: Map<&'static str, u32>,
@@ -544,7 +544,7 @@
     peers.push(("e9", "campanha"));
     let mut millicores: Map<&str, u32> = weak.iter().map(|name| (*name, 250)).collect();
     millicores.extend([("e9", 1000), (SELF, 250)]);
-    // 36 parts in groups of six.
+    // 36 parts, which are divided into groups of six.
     let parts = vec![vec!["campanha", "sao-bento"]; 36];
     let fixture = ViewFixture { parts, peers, millicores, scarce: true, ..ViewFixture::default() };
     let mut harness = fixture.harness();
--- a/crates/core/tests/gather/refusals.rs
+++ b/crates/core/tests/gather/refusals.rs
@@ -15,7 +15,7 @@
     Harness, answers, covering_reply, only_answer, refusal_reply, request, sent_work, start_request,
 };
 
-/// The expected action after a refusal.
+/// The expected action after the refusal of a portion.
 #[derive(Debug, PartialEq)]
 enum Outcome {
     /// The portion is sent to this instance.
--- a/crates/core/tests/gather/session.rs
+++ b/crates/core/tests/gather/session.rs
@@ -117,12 +117,12 @@
     sends.collect()
 }
 
-/// Returns the action that counts a dropped reply.
+/// Returns the action that counts a reply dropped for `reason`.
 pub(crate) fn drop_count(reason: Reason) -> Action {
     Action::Count(Count { event: count::Event::Drop, reason })
 }
 
-/// Returns the answer, which must be the only one.
+/// Returns the answer among the actions, of which there must be exactly one.
 pub(crate) fn only_answer(actions: &[Action]) -> Answer {
     let mut answers = answers(actions);
     assert_eq!(answers.len(), 1, "one answer in {actions:?}");
--- a/crates/core/tests/gather/sweep.rs
+++ b/crates/core/tests/gather/sweep.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole path of ordinary queries.
+//! Tests of ordinary queries from the request to the answer.
 
 use ladder_core::gather::{Event, Step};
 use ladder_core::schema::outcome::{Reason, Verdict};
