--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/near.rs
@@ -266,11 +266,7 @@
             two_groups,
             &[("e3", ALL_PARTS), ("e2", ALL_PARTS), ("e3", ALL_PARTS)],
         ),
-        assignment(
-            "no server here in the local zone",
-            with_parts(all_far),
-            &[("e2", ALL_PARTS); 3],
-        ),
+        assignment("no server here", with_parts(all_far), &[("e2", ALL_PARTS); 3]),
         assignment(
             "two zones have three each",
             with_parts(split),
