--- a/crates/core/src/leaf/admission.rs
+++ b/crates/core/src/leaf/admission.rs
@@ -1,106 +1,117 @@
-//! Which queries a service takes on while more arrives than its servers can do.
+//! Admission control: decides which queries a service accepts while more work arrives than its
+//! servers can process.
 
 use std::time::Duration;
 
 use super::queue::{CLASSES, Class};
 use crate::time::Instant;
 
-/// Time in which an arrival or a dispatch loses all but 37% of its weight.
+/// Time constant of the decaying counts: after this time, an arrival or a dispatch keeps 37% of its
+/// weight.
 ///
-/// The longer, the closer the services agree: call times vary, and with them what a service can do
-/// within a second.
-const MEMORY: Duration = Duration::from_secs(8);
-/// Dispatches assumed at the start. The first portions of a class have not been dispatched when
-/// the next ones arrive; this must not look like overload.
-const ASSUMED: f64 = 50.0;
-/// Part of its time that a portion may wait before anything is refused: a burst is no overload.
-const SHORT: f64 = 0.15;
-/// Part of its time that a portion may wait, in overload, before less is taken on than is
-/// dispatched.
-const WAIT: f64 = 0.25;
-/// Added to [`WAIT`] when all that arrives is dispatched in the end. At a load of about one the
-/// queue grows and shrinks by itself; what it refuses on its way could have been done in time.
-const MORE_WAIT: f64 = 0.25;
-/// Dispatched part of the arrivals at which nothing is added to [`WAIT`].
-const OVERLOAD: f64 = 0.75;
-/// How much the share changes from no wait to the wait allowed, and as much beyond it.
-const GAIN: f64 = 0.25;
-/// Some work is always taken, so that the end of the overload shows.
-const LEAST: f64 = 0.05;
+/// A longer time makes the services agree more closely: call times vary, and with them the number
+/// of calls that a service can process within a second.
+const DECAY_TIME: Duration = Duration::from_secs(8);
+/// Number of dispatches assumed initially. The first portions of a class are not dispatched yet
+/// when the next ones arrive, and this must not look like overload.
+const INITIAL_DISPATCHES: f64 = 50.0;
+/// Fraction of its time budget that a portion may wait before any query is refused, because a short
+/// burst is no overload.
+const BURST_WAIT: f64 = 0.15;
+/// Fraction of its time budget that a portion may wait in overload before a service accepts less
+/// than it dispatches.
+const OVERLOAD_WAIT: f64 = 0.25;
+/// Added to [`OVERLOAD_WAIT`] when all arriving portions are eventually dispatched. At a load of
+/// about 1, the queue grows and shrinks by itself, and portions refused while it grows could have
+/// been answered in time.
+const EXTRA_WAIT: f64 = 0.25;
+/// Ratio of dispatches to arrivals at and below which nothing is added to [`OVERLOAD_WAIT`].
+const OVERLOAD_RATIO: f64 = 0.75;
+/// Change of the accepted share of queries between no wait and the allowed wait; beyond the allowed
+/// wait, the share falls at the same rate.
+const QUEUE_GAIN: f64 = 0.25;
+/// Minimum share of queries that is always accepted, so that the end of an overload is detected.
+const MIN_ADMITTED_SHARE: f64 = 0.05;
 
-/// Portions of one urgency class that arrived and that were dispatched of late, as decaying counts.
+/// Decaying counts of the portions of one urgency class that arrived and that were dispatched.
 #[derive(Clone, Copy, Debug, Default)]
-struct Flow {
+struct FlowCounts {
+    /// Decaying count of arrived portions.
     offered: f64,
+    /// Decaying count of dispatched portions.
     dispatched: f64,
-    /// Time to which both counts have decayed.
-    at: Instant,
+    /// Time up to which both counts have been decayed.
+    decayed_until: Instant,
 }
 
-impl Flow {
+impl FlowCounts {
     fn decay(&mut self, now: Instant) {
-        let elapsed = now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64();
-        let left = (-elapsed).exp();
-        self.offered *= left;
-        self.dispatched *= left;
-        self.at = now;
+        let time_constants = now.since(self.decayed_until).as_secs_f64() / DECAY_TIME.as_secs_f64();
+        let remaining = (-time_constants).exp();
+        self.offered *= remaining;
+        self.dispatched *= remaining;
+        self.decayed_until = now;
     }
 
-    /// Part of the arrivals that was dispatched.
-    fn done(&self) -> f64 {
-        let done = (self.dispatched + ASSUMED) / (self.offered + ASSUMED);
-        done.min(1.0)
+    /// Ratio of dispatched to arrived portions, at most 1.
+    fn dispatched_ratio(&self) -> f64 {
+        let dispatched_ratio =
+            (self.dispatched + INITIAL_DISPATCHES) / (self.offered + INITIAL_DISPATCHES);
+        dispatched_ratio.min(1.0)
     }
 }
 
-/// Share of the queries that is taken on, by urgency class.
+/// Admission control of one service: the share of queries that it accepts, by urgency class.
 ///
-/// A sweep needs all its services. If each service refused at random what it cannot do, at 1.3
-/// times the capacity of 20 services hardly any sweep would be complete, and the work on the others
-/// would be wasted. Each query therefore has a number between zero and one that is the same at all
-/// services, and every service refuses the queries with the highest numbers. The share is what a
-/// service was seen to dispatch of its arrivals over some seconds, and a little more or less as
-/// its queue is short or long: a share that followed the queue alone would swing, at each service
-/// at another time, and the services would not refuse the same queries.
+/// A sweep needs all of its services. If each service refused random queries in overload, then at
+/// 1.3 times the capacity of 20 services hardly any sweep would be complete, and the work of the
+/// other services would be wasted. Each query therefore has a fraction between 0 and 1 that is the
+/// same at all services, and every service refuses the queries with the highest fractions.
+///
+/// The accepted share is the ratio of dispatches to arrivals over some seconds, adjusted slightly
+/// by the length of the queue. A share that followed the queue alone would oscillate at a different
+/// phase in each service, and the services would not refuse the same queries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Admission {
-    flows: [Flow; CLASSES],
+    flows: [FlowCounts; CLASSES],
 }
 
 impl Admission {
-    /// A portion arrives, whatever becomes of it.
-    pub(super) fn offered(&mut self, now: Instant, class: Class) {
+    /// Counts an arriving portion, whether or not it is accepted.
+    pub(super) fn record_arrival(&mut self, now: Instant, class: Class) {
         let flow = &mut self.flows[class.place()];
         flow.decay(now);
         flow.offered += 1.0;
     }
 
-    /// A portion is sent to a server for the first time.
-    pub(super) fn dispatched(&mut self, now: Instant, class: Class) {
+    /// Counts a portion that is sent to a server for the first time.
+    pub(super) fn record_dispatch(&mut self, now: Instant, class: Class) {
         let flow = &mut self.flows[class.place()];
         flow.decay(now);
         flow.dispatched += 1.0;
     }
 
-    /// Whether a query with this number between zero and one is taken on, when a portion of its
-    /// class waits for `wait` of the time `budget` that it has.
+    /// Whether a query with this fraction is accepted, when a portion of its class waits for `wait`
+    /// of its time `budget`.
     pub(super) fn admits(
         &self,
         class: Class,
-        number: f64,
+        fraction: f64,
         wait: Duration,
         budget: Duration,
     ) -> bool {
-        let done = self.flows[class.place()].done();
-        let near = ((done - OVERLOAD) / (1.0 - OVERLOAD)).max(0.0);
-        let limit = budget.mul_f64(WAIT + MORE_WAIT * near);
-        let spare = 1.0 - wait.as_secs_f64() / limit.as_secs_f64().max(1e-6);
-        wait < budget.mul_f64(SHORT) || number <= (done + GAIN * spare).max(LEAST)
+        let dispatched_ratio = self.flows[class.place()].dispatched_ratio();
+        let headroom = ((dispatched_ratio - OVERLOAD_RATIO) / (1.0 - OVERLOAD_RATIO)).max(0.0);
+        let limit = budget.mul_f64(OVERLOAD_WAIT + EXTRA_WAIT * headroom);
+        let spare_wait = 1.0 - wait.as_secs_f64() / limit.as_secs_f64().max(1e-6);
+        wait < budget.mul_f64(BURST_WAIT)
+            || fraction <= (dispatched_ratio + QUEUE_GAIN * spare_wait).max(MIN_ADMITTED_SHARE)
     }
 }
 
-/// The number of a query, the same at all services.
-pub(super) fn number(incarnation: u64, query: u64) -> f64 {
-    let mixed = super::random::mix(incarnation.rotate_left(32) ^ query);
-    (mixed >> 11) as f64 / (1_u64 << 53) as f64
+/// Fraction of a query between 0 and 1, derived from its number and the incarnation of its entry
+/// instance, so that it is the same at all services.
+pub(super) fn query_fraction(incarnation: u64, query: u64) -> f64 {
+    let hash = super::random::mix(incarnation.rotate_left(32) ^ query);
+    (hash >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/crates/core/src/leaf/budget.rs
+++ b/crates/core/src/leaf/budget.rs
@@ -1,4 +1,4 @@
-//! Extra calls (retries and hedges) that a service may spend.
+//! Budget of the extra calls (retries and hedges) of a service.
 
 use std::time::Duration;
 
@@ -7,145 +7,160 @@
 use crate::control::hash;
 use crate::time::Instant;
 
-/// Thousandths of an extra call.
-const CALL: u32 = 1000;
+/// Number of budget tokens that one extra call costs; a token is a thousandth of an extra call.
+const TOKENS_PER_CALL: u32 = 1000;
 
-/// Extra calls that may be saved up where the entry does not say, so that a quiet hour does not pay
-/// for a burst.
-const BURST: u32 = 10;
+/// Maximum number of saved-up extra calls where the catalogue entry sets none, so that a quiet hour
+/// does not pay for a burst.
+const DEFAULT_BURST_CALLS: u32 = 10;
 
-/// Extra calls that only retries may spend.
+/// Tokens that only retries may spend: two extra calls.
 ///
-/// A server that turns slow before it dies lets the second copies of its calls spend everything;
-/// the calls that die with it could then not be repeated, and their shards would be missing although
-/// another replica had them. No more calls die with a server than it has slots: two at the sweeps'
-/// services.
-const RESERVE: u32 = 2 * CALL;
+/// A server that slows down before it crashes could let the hedges of its calls spend all tokens.
+/// The calls lost in the crash could then not be retried, and their shards would be missing
+/// although another replica has them. At most as many calls are lost with a server as it has slots:
+/// two at the services of the sweeps.
+const RETRY_RESERVE: u32 = 2 * TOKENS_PER_CALL;
 
-/// What one instance may spend of what the fleet may.
+/// Share of one instance in the extra calls of the whole fleet.
 ///
-/// Over all sharers, what is saved up and what comes back with time in one window are the fleet's
-/// burst at the most.
+/// The saved-up extra calls and those refilled with time in one window, summed over all sharing
+/// instances, are at most the burst of the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Allowance {
-    /// Thousandths of an extra call that one first call earns.
-    per_call: u32,
-    /// Thousandths that may be saved up.
-    most: u32,
-    /// Thousandths that come back in one window without first calls.
-    per_window: u32,
-    /// Zero: nothing comes back with time.
+    /// Tokens that one first call earns.
+    earned_per_call: u32,
+    /// Maximum number of saved-up tokens.
+    max_tokens: u32,
+    /// Tokens refilled in one window, independent of first calls.
+    refill_per_window: u32,
+    /// Length of the refill window; zero if no tokens are refilled with time.
     window: Duration,
 }
 
 impl Allowance {
-    /// The part of one of `sharers` instances; `names` are the service's and the instance's.
+    /// Returns the share of one of `sharers` instances. `names` holds the name of the service and
+    /// the name of the instance.
     ///
-    /// Where the fleet's burst comes back with time, a sixth of it does. An instance that only hands
-    /// its parts to the one that asks for all makes no first calls and so earned nothing: after the
-    /// first two losses of an asker it refused the parts that it had to send again, for ever.
+    /// Where the catalogue sets a refill window, a sixth of the burst of the fleet is refilled per
+    /// window. An instance that only hands its portions to the owner, which sends for all
+    /// instances, makes no first calls and earns no tokens. Without the refill, it would refuse
+    /// every portion that it has to send again after the first two losses of an owner.
     pub(super) fn of(limits: &Limits, sharers: u32, names: [&str; 2]) -> Self {
         let sharers = sharers.max(1);
         let window = Duration::from_millis(limits.extra_window_ms.into());
-        let per_call = limits.extra_percent * (CALL / 100);
-        let Some(burst) = limits.extra_burst.checked_mul(CALL).filter(|&burst| burst > 0) else {
-            return Self { per_call, most: BURST * CALL, ..Self::default() };
+        let earned_per_call = limits.extra_percent * (TOKENS_PER_CALL / 100);
+        let Some(burst) =
+            limits.extra_burst.checked_mul(TOKENS_PER_CALL).filter(|&burst| burst > 0)
+        else {
+            return Self {
+                earned_per_call,
+                max_tokens: DEFAULT_BURST_CALLS * TOKENS_PER_CALL,
+                ..Self::default()
+            };
         };
-        let timed = !window.is_zero() && per_call > 0;
-        let per_window = if timed { burst / 6 / sharers } else { 0 };
-        let most = rounded((burst / sharers).saturating_sub(per_window), names);
-        Self { per_call, most, per_window, window }
+        let has_refill = !window.is_zero() && earned_per_call > 0;
+        let refill_per_window = if has_refill { burst / 6 / sharers } else { 0 };
+        let max_tokens = round_to_calls((burst / sharers).saturating_sub(refill_per_window), names);
+        Self { earned_per_call, max_tokens, refill_per_window, window }
     }
 
-    /// Thousandths that come back in a span of time.
-    fn within(&self, span: Duration) -> u32 {
+    /// Tokens refilled in a span of time.
+    fn refill_within(&self, span: Duration) -> u32 {
         if self.window.is_zero() {
             return 0;
         }
-        let share = span.as_secs_f64() / self.window.as_secs_f64();
-        (f64::from(self.per_window) * share) as u32
+        let windows = span.as_secs_f64() / self.window.as_secs_f64();
+        (f64::from(self.refill_per_window) * windows) as u32
     }
 }
 
-/// A number of thousandths as whole calls: up at as many instances as the fraction says.
+/// Rounds a number of tokens to whole extra calls. The fraction determines the share of instances
+/// that round up.
 ///
-/// A fleet larger than its burst would otherwise have none at all, as nobody's part pays for a call.
-fn rounded(share: u32, names: [&str; 2]) -> u32 {
-    let number = hash::of(&names.map(str::as_bytes)) % u64::from(CALL);
-    let up = u64::from(share % CALL) > number;
-    (share / CALL + u32::from(up)) * CALL
+/// Without this, in a fleet with more instances than burst calls no instance could pay for a call.
+fn round_to_calls(tokens: u32, names: [&str; 2]) -> u32 {
+    let threshold = hash::of(&names.map(str::as_bytes)) % u64::from(TOKENS_PER_CALL);
+    let round_up = u64::from(tokens % TOKENS_PER_CALL) > threshold;
+    (tokens / TOKENS_PER_CALL + u32::from(round_up)) * TOKENS_PER_CALL
 }
 
-/// Tokens earned by first calls and with time, spent by extra calls.
+/// Tokens of one service: earned by first calls and refilled with time, spent by extra calls.
 ///
-/// In overload every call is slow and would be copied or repeated; the extra calls would then make
-/// the overload worse. Tokens bound them to a share of the first calls.
+/// In overload every call is slow and would be hedged or retried, and the extra calls would make
+/// the overload worse. The tokens limit extra calls to a share of the first calls.
 #[derive(Clone, Debug)]
 pub(super) struct Budget {
-    /// Thousandths of an extra call.
+    /// Tokens available now, in thousandths of an extra call.
     ///
-    /// Invariant: never above what the allowance lets save up.
+    /// Invariant: never above the maximum of the allowance.
     tokens: u32,
     allowance: Allowance,
-    /// Up to when time has been counted.
-    counted: Instant,
+    /// Time up to which the refill has been added.
+    refilled_until: Instant,
 }
 
 impl Budget {
-    /// What a service starts with: the retries' part, so that it can stand the loss of a server
-    /// before its calls have earned any, and nothing where the catalogue allows no extra calls.
+    /// Creates the initial budget of a service: the tokens reserved for retries, so that the
+    /// service can retry after the loss of a server before its calls have earned any tokens. The
+    /// budget starts empty if the catalogue allows no extra calls.
     pub(super) fn new(allowance: Allowance, now: Instant) -> Self {
-        let tokens = if allowance.per_call == 0 { 0 } else { RESERVE.min(allowance.most) };
-        Self { tokens, allowance, counted: now }
+        let tokens = if allowance.earned_per_call == 0 {
+            0
+        } else {
+            RETRY_RESERVE.min(allowance.max_tokens)
+        };
+        Self { tokens, allowance, refilled_until: now }
     }
 
-    /// Another part of what the fleet may spend.
+    /// Replaces the share of this instance in the extra calls of the fleet.
     pub(super) fn allow(&mut self, allowance: Allowance) {
         self.allowance = allowance;
-        self.tokens = self.tokens.min(allowance.most);
+        self.tokens = self.tokens.min(allowance.max_tokens);
     }
 
-    /// Counts the time that has passed.
-    pub(super) fn at(&mut self, now: Instant) -> &mut Self {
-        let back = self.allowance.within(now.since(self.counted));
-        // Less than a thousandth goes on counting.
-        if back > 0 {
-            self.counted = now;
-            self.save(back);
+    /// Adds the tokens refilled since the last refill.
+    pub(super) fn refill(&mut self, now: Instant) -> &mut Self {
+        let refill_tokens = self.allowance.refill_within(now.since(self.refilled_until));
+        // Time that yields less than one token is counted at the next refill.
+        if refill_tokens > 0 {
+            self.refilled_until = now;
+            self.add_tokens(refill_tokens);
         }
         self
     }
 
-    /// Earns what one first call allows.
-    pub(super) fn earn(&mut self) {
-        self.save(self.allowance.per_call);
+    /// Adds the tokens that one first call earns.
+    pub(super) fn earn_for_call(&mut self) {
+        self.add_tokens(self.allowance.earned_per_call);
     }
 
-    fn save(&mut self, tokens: u32) {
-        self.tokens = self.tokens.saturating_add(tokens).min(self.allowance.most);
+    /// Adds tokens, up to the maximum of the allowance.
+    fn add_tokens(&mut self, tokens: u32) {
+        self.tokens = self.tokens.saturating_add(tokens).min(self.allowance.max_tokens);
     }
 
-    /// Whether a retry can be paid.
-    fn affords(&self) -> bool {
-        self.tokens >= CALL
+    /// Whether the tokens suffice for a retry.
+    fn affords_retry(&self) -> bool {
+        self.tokens >= TOKENS_PER_CALL
     }
 
-    /// Whether a second copy can be paid without touching what is kept for retries.
-    pub(super) fn affords_copy(&self) -> bool {
-        self.tokens >= RESERVE + CALL
+    /// Whether the tokens suffice for a hedge without spending those reserved for retries.
+    pub(super) fn affords_hedge(&self) -> bool {
+        self.tokens >= RETRY_RESERVE + TOKENS_PER_CALL
     }
 
-    /// Pays for an extra call; `false` when the tokens do not suffice.
+    /// Spends the tokens of one extra call; returns `false` if there are too few.
     pub(super) fn spend(&mut self) -> bool {
-        let paid = self.affords();
-        if paid {
-            self.tokens -= CALL;
+        let affordable = self.affords_retry();
+        if affordable {
+            self.tokens -= TOKENS_PER_CALL;
         }
-        paid
+        affordable
     }
 
-    /// Whole extra calls saved up.
+    /// Number of whole extra calls that the saved-up tokens pay for.
     pub(super) fn calls(&self) -> u32 {
-        self.tokens / CALL
+        self.tokens / TOKENS_PER_CALL
     }
 }
--- a/crates/core/src/leaf/collect.rs
+++ b/crates/core/src/leaf/collect.rs
@@ -1,7 +1,9 @@
-//! Collects the replies of an entry's portions and merges their records.
+//! Partial aggregation: collects the replies of the portions of an entry instance and merges their
+//! records.
 //!
-//! An entry in another zone wants the greatest records of many parts. Sent one by one, each
-//! part's records would cross between zones to be thrown away there.
+//! An entry instance in another zone wants only the greatest records of many portions. If the
+//! replies were sent one by one, the records of every portion would cross between zones only to be
+//! discarded there.
 
 use std::time::Duration;
 
@@ -19,33 +21,39 @@
 use crate::view::Peer;
 
 new_key_type! {
-    /// Portions that are answered together.
+    /// Key of a group of portions whose replies are aggregated.
     pub(super) struct CollectionKey;
 }
 
-/// Replies that wait for others.
+/// Partial aggregation of the replies of one message of work.
 #[derive(Debug)]
 pub(super) struct Collection {
     to: Peer,
     query: Query,
     round: u32,
-    /// When the work arrived.
-    since: Instant,
-    /// Records that are wanted of all of them.
+    /// Time at which the work arrived.
+    arrived: Instant,
+    /// Number of records that the entry instance wants from all portions together.
     top: usize,
-    /// Portions without a reply.
+    /// Number of portions without a reply.
     ///
-    /// Invariant: a collection is removed when it gets to zero, as every portion is replied to.
-    open: usize,
-    /// Answers that wait. Refusals never do: the entry may have others asked.
+    /// Invariant: an aggregation is removed when this number becomes zero, because every portion
+    /// gets a reply.
+    open_portions: usize,
+    /// Answers that wait to be merged. Refusals are sent at once, because the entry instance may
+    /// send the portion to another instance.
     replies: Vec<Reply>,
-    /// Its time has come: what comes now goes back at once.
-    late: bool,
+    /// The time of the aggregation is over: later replies are sent at once.
+    timed_out: bool,
 }
 
 impl Machine {
-    /// Begins a collection if the work asks for one.
-    pub(super) fn begin_collection(&mut self, job: &Job, portions: usize) -> Option<CollectionKey> {
+    /// Starts a partial aggregation if the work asks for one.
+    pub(super) fn begin_aggregation(
+        &mut self,
+        job: &Job,
+        portions: usize,
+    ) -> Option<CollectionKey> {
         let collect = job.work.collect?;
         let is_sweep = job.work.forward.as_ref().is_some_and(|forward| forward.part);
         if portions < 2 || !is_sweep {
@@ -55,30 +63,32 @@
             to: job.from.clone(),
             query: job.query(),
             round: job.work.round,
-            since: self.now,
+            arrived: self.now,
             top: collect.top as usize,
-            open: portions,
+            open_portions: portions,
             replies: Vec::new(),
-            late: false,
+            timed_out: false,
         });
         let timely_at = self.now + Duration::from_micros(collect.timely_us);
         self.timers.push(timely_at, Timer::Collection(key));
         Some(key)
     }
 
-    /// Sends a reply, or keeps it until those that it is collected with are there.
+    /// Sends a reply, or keeps an answer until the replies with which it is aggregated have
+    /// arrived.
     pub(super) fn reply(&mut self, job: &Job, reply: Reply, out: &mut Vec<Action>) {
         let answered = (reply.verdict(), reply.reason()) == (Verdict::Ran, Reason::Unspecified);
         let collection = job.collection.and_then(|key| self.collections.get_mut(key));
-        match collection.filter(|collection| answered && !collection.late) {
+        match collection.filter(|collection| answered && !collection.timed_out) {
             Some(collection) => collection.replies.push(reply),
             None => out.push(Action::Reply { to: job.from.clone(), reply }),
         }
-        self.settle_collected(job, out);
+        self.settle_portion(job, out);
     }
 
-    /// One portion less is awaited: it got its reply, or was delivered before and gets none.
-    pub(super) fn settle_collected(&mut self, job: &Job, out: &mut Vec<Action>) {
+    /// Removes a portion from the awaited ones of its group: the portion got its reply, or was
+    /// delivered before and gets none.
+    pub(super) fn settle_portion(&mut self, job: &Job, out: &mut Vec<Action>) {
         self.settle_sibling(job);
         let Some(key) = job.collection else {
             return;
@@ -86,64 +96,68 @@
         let Some(collection) = self.collections.get_mut(key) else {
             return;
         };
-        collection.open = collection.open.saturating_sub(1);
-        if collection.open == 0 {
-            self.send_collected(key, out);
+        collection.open_portions = collection.open_portions.saturating_sub(1);
+        if collection.open_portions == 0 {
+            self.send_merged(key, out);
             self.collections.remove(key);
         }
     }
 
-    /// The entry's time has come: it gets what is there, and hears that the rest is still awaited.
+    /// Sends the replies collected so far when the time of an aggregation is over, and reports to
+    /// the entry instance that the others are still pending.
     pub(super) fn collection_due(&mut self, key: CollectionKey, out: &mut Vec<Action>) {
         let Some(collection) = self.collections.get_mut(key) else {
             return;
         };
-        collection.late = true;
+        collection.timed_out = true;
         let pending = Pending {
             query: collection.query.number,
             round: collection.round,
             incarnation: collection.query.incarnation,
         };
         let to = collection.to.clone();
-        self.send_collected(key, out);
+        self.send_merged(key, out);
         out.push(Action::Pending { to, pending });
     }
 
-    /// The entry gave a query up: what waits for it is of no use.
+    /// Drops the aggregations of a query that its entry instance has cancelled.
     ///
-    /// What waits does so for a portion that is open: the collections of those are all there are.
-    pub(super) fn drop_collections(&mut self, open: &[PortionKey]) {
-        for key in open {
+    /// An answer is only kept while another portion of the same aggregation is open, so the open
+    /// portions lead to all aggregations of the query.
+    pub(super) fn drop_aggregations(&mut self, open_portions: &[PortionKey]) {
+        for key in open_portions {
             let collection = self.portions.get(*key).and_then(|portion| portion.job.collection);
             collection.and_then(|key| self.collections.remove(key));
         }
     }
 
-    /// Sends the answers that wait; the first one's part gets the greatest records of all.
-    fn send_collected(&mut self, key: CollectionKey, out: &mut Vec<Action>) {
+    /// Sends the collected answers. The first reply carries the greatest records of all of them.
+    fn send_merged(&mut self, key: CollectionKey, out: &mut Vec<Action>) {
         let Some(collection) = self.collections.get_mut(key) else {
             return;
         };
         let mut replies = std::mem::take(&mut collection.replies);
         if replies.len() > 1 {
-            merge(&mut replies, collection.top);
+            merge_replies(&mut replies, collection.top);
         }
         if let Some(first) = replies.first_mut() {
-            first.held_us = micros(self.now.since(collection.since));
+            first.held_us = micros(self.now.since(collection.arrived));
         }
         let to = &collection.to;
         out.extend(replies.into_iter().map(|reply| Action::Reply { to: to.clone(), reply }));
     }
 }
 
-fn merge(replies: &mut [Reply], top: usize) {
+/// Moves the greatest records of all replies into the first one and clears the bodies of the
+/// others.
+fn merge_replies(replies: &mut [Reply], top: usize) {
     let bodies = replies.iter().flat_map(responses).map(|response| &response.body);
     let mut merged = Some(records::greatest(bodies, top));
     let count = u32::try_from(replies.len()).unwrap_or(u32::MAX);
     for reply in replies.iter_mut() {
         let responses = reply.parts.iter_mut().filter_map(|part| part.response.as_mut());
         for response in responses {
-            // Of a sweep's responses only signature and records enter the answer.
+            // Only the signature and the records of a response enter the merged answer of a sweep.
             response.fields.clear();
             response.body = merged.take().unwrap_or_default();
         }
--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -1,8 +1,9 @@
-//! Which requests were at a server that ended.
+//! Detects the requests that were at a server when its process terminated.
 //!
-//! All calls at a server that ends break off alike, and the request that ended it is one of them. A broken
-//! connection proves nothing: the server has ended when nothing listens at its address any more, or when
-//! it is known to have started again.
+//! All calls at a terminating server fail alike, and the request that crashed the server is one of
+//! them. A lost connection alone proves nothing. The server process is known to have terminated
+//! when no process listens at its address any more, or when the server is known to have started
+//! again.
 
 mod table;
 
@@ -25,46 +26,52 @@
 use crate::view;
 
 pub(super) use table::{Crashes, Loss};
-use table::{EVIDENCE_AGE, HOLD, LOSSES};
+use table::{EVIDENCE_MAX_AGE, HOLD_TIME, MAX_LOSSES_PER_SERVER};
 
-/// How much later than it happened an end may be dated by news that came through peers.
-const DATING_ERROR: Duration = Duration::from_secs(1);
+/// Maximum error of the reported time of a termination: reports forwarded by peers may date it this
+/// much too late.
+const MAX_TIME_ERROR: Duration = Duration::from_secs(1);
 
-/// An end of a server that somebody reported.
+/// Termination of a server that an instance reported.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Suspicion {
-    /// When calls broke off.
-    ended: Instant,
-    /// When this instance heard of it.
-    heard: Instant,
+    /// Time at which calls at the server lost their connections.
+    terminated_at: Instant,
+    /// Time at which this instance received the report.
+    received_at: Instant,
 }
 
 impl Machine {
+    /// Counts a new portion of a request that has a fingerprint.
     pub(super) fn portion_began(&mut self, job: &Job) {
         if let Some(request) = job.fingerprint {
             self.crashes.begin(request, |open| open.portions += 1);
         }
     }
 
+    /// Removes a portion that has its reply from the counts of its request and reports crashes
+    /// whose requests are settled.
     pub(super) fn portion_ended(&mut self, job: &Job, out: &mut Vec<Action>) {
         if let Some(request) = job.fingerprint {
             self.crashes.end(request, |open| open.portions -= 1);
-            self.tell_ends(out);
+            self.report_crashes(out);
         }
     }
 
+    /// Counts a new call of a request that has a fingerprint.
     pub(super) fn call_began(&mut self, attempt: &Attempt) {
         if let Some(request) = attempt.job.fingerprint {
             self.crashes.begin(request, |open| open.calls += 1);
         }
     }
 
-    /// A call has ended like this; `whole` when the server gave a whole response all the same.
+    /// Updates the crash evidence when a call ends with this outcome. `complete_response` says that
+    /// the server sent a complete response, even if it counts as an error.
     pub(super) fn call_ended(
         &mut self,
         attempt: &Attempt,
         outcome: &Outcome,
-        whole: bool,
+        complete_response: bool,
         out: &mut Vec<Action>,
     ) {
         let Some(request) = attempt.job.fingerprint else {
@@ -72,79 +79,84 @@
         };
         self.crashes.end(request, |open| open.calls -= 1);
         let timed_out = self.now.since(attempt.sent) >= attempt.timeout;
-        if whole || is_of_server(outcome) {
-            self.refute_end(attempt, out);
+        if complete_response || is_from_server(outcome) {
+            self.refute_termination(attempt, out);
         }
         match outcome {
             Outcome::Answer(_) => self.request_answered(request, out),
-            Outcome::Error if whole => self.request_answered(request, out),
+            Outcome::Error if complete_response => self.request_answered(request, out),
             Outcome::Lost if !timed_out => self.connection_lost(attempt.server, request),
             _ => {}
         }
-        self.tell_ends(out);
+        self.report_crashes(out);
     }
 
-    /// A server answered a request, which therefore ends none.
+    /// Records that a server answered a request, which proves that the request does not crash
+    /// servers.
     fn request_answered(&mut self, request: Fingerprint, out: &mut Vec<Action>) {
-        let doubted = self.crashes.answered(self.now, request);
+        let was_suspected = self.crashes.record_answer(self.now, request);
         if self.view.quarantine.concerns(request) {
             out.push(Action::Cleared(request));
         }
-        if doubted {
-            self.look_at_parts();
+        if was_suspected {
+            self.mark_waiting_services();
         }
     }
 
-    /// A server has answered a call; if it is said to have ended, it did not.
+    /// Refutes the reported termination of a server that has answered a call.
     ///
-    /// Whoever is cut off takes all servers for ended. Only a connection counts that was open when the calls
-    /// of others broke off: a later one may lead to the next process at the same address, also when it is
-    /// older than the news.
-    fn refute_end(&mut self, attempt: &Attempt, out: &mut Vec<Action>) {
+    /// An instance that is cut off from the network considers all servers terminated. Only a
+    /// connection that was open before other instances lost their calls refutes the report: a later
+    /// connection may lead to the next process at the same address, even if it was opened before
+    /// the report arrived.
+    fn refute_termination(&mut self, attempt: &Attempt, out: &mut Vec<Action>) {
         let server = &mut self.servers[attempt.server];
         let Some(suspicion) = server.suspicion else {
             return;
         };
-        let older = |since: Instant| since + DATING_ERROR < suspicion.ended;
-        let older = self.lanes.get(attempt.lane).is_some_and(|lane| older(lane.since));
-        if older && attempt.sent >= suspicion.heard {
+        let is_older = |since: Instant| since + MAX_TIME_ERROR < suspicion.terminated_at;
+        let older = self.lanes.get(attempt.lane).is_some_and(|lane| is_older(lane.since));
+        if older && attempt.sent >= suspicion.received_at {
             server.suspicion = None;
             let (server, incarnation) = (Arc::clone(&server.name), server.incarnation);
             out.push(Action::Refuted { server, incarnation });
         }
     }
 
-    /// Takes over which requests are refused, and which servers are said to have ended.
-    pub(super) fn take_quarantine(
+    /// Applies the quarantine of a new view: which requests are refused, and which servers are
+    /// reported to have terminated.
+    pub(super) fn apply_quarantine(
         &mut self,
         before: &Arc<view::Quarantine>,
         out: &mut Vec<Action>,
     ) {
-        let now = Arc::clone(&self.view.quarantine);
-        if Arc::ptr_eq(before, &now) {
+        let quarantine = Arc::clone(&self.view.quarantine);
+        if Arc::ptr_eq(before, &quarantine) {
             return;
         }
         for server in self.servers.values_mut() {
-            let end = now.ended.get(&server.name);
+            let end = quarantine.ended.get(&server.name);
             let end = end.filter(|end| end.incarnation == server.incarnation);
-            let heard = server.suspicion.map_or(self.now, |suspicion| suspicion.heard);
-            server.suspicion = end.map(|end| Suspicion { ended: end.at, heard });
+            let received_at = server.suspicion.map_or(self.now, |suspicion| suspicion.received_at);
+            server.suspicion = end.map(|end| Suspicion { terminated_at: end.at, received_at });
         }
-        let known = now.refused.iter().chain(&now.suspected);
+        let known = quarantine.refused.iter().chain(&quarantine.suspected);
         let answered = known.filter(|request| self.crashes.was_answered(**request));
         out.extend(answered.map(|request| Action::Cleared(*request)));
-        if !now.refused.is_empty() {
-            self.stop_refused(&now.refused, out);
+        if !quarantine.refused.is_empty() {
+            self.stop_quarantined(&quarantine.refused, out);
         }
     }
 
-    /// Ends what is open of refused requests. Calls that wait at servers end with their connections.
-    fn stop_refused(&mut self, refused: &Set<Fingerprint>, out: &mut Vec<Action>) {
-        let is_refused = |job: &Job| job.fingerprint.is_some_and(|one| refused.contains(&one));
+    /// Refuses the open portions of quarantined requests and closes the connections of their calls,
+    /// so that calls that still wait at a server are not started.
+    fn stop_quarantined(&mut self, refused: &Set<Fingerprint>, out: &mut Vec<Action>) {
+        let is_refused =
+            |job: &Job| job.fingerprint.is_some_and(|fingerprint| refused.contains(&fingerprint));
         let open = self.portions.iter().filter(|(_, portion)| is_refused(&portion.job));
         let open: Vec<PortionKey> = open.map(|(key, _)| key).collect();
         for key in open {
-            self.finish(key, Refused::with(self.standing(key), Reason::Quarantined), out);
+            self.finish(key, Refused::with(self.current_verdict(key), Reason::Quarantined), out);
         }
         let calls = self.attempts.iter().filter(|(_, attempt)| is_refused(&attempt.job));
         let calls: Vec<AttemptKey> = calls.map(|(key, _)| key).collect();
@@ -153,8 +165,9 @@
         }
     }
 
-    /// Parts that waited for news of a server may go on.
-    fn look_at_parts(&mut self) {
+    /// Marks all services with queued portions for dispatch, because portions held until there is
+    /// news of a server may continue.
+    fn mark_waiting_services(&mut self) {
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
             if !self.services[id].queue.is_empty() {
@@ -163,108 +176,122 @@
         }
     }
 
-    /// Whether a portion is not to be sent now.
+    /// Whether a portion is held back because its request may crash servers.
     ///
-    /// The failure: a request ends each server that begins to run it. All its calls break off at once, and
-    /// its parts would end the next server of each shard before the first call that could tell is answered.
-    /// They wait until a sibling is answered, a server takes connections again, or it is known that the
-    /// servers ended. A harmless request loses a few milliseconds by it.
-    pub(super) fn waits_for_news(&self, key: PortionKey) -> bool {
+    /// A poison request crashes every server that begins to run it. All of its calls fail at once,
+    /// and its portions would crash the next server of each shard before the first call that could
+    /// clear the request is answered. The portions are held until a portion of the same sweep is
+    /// answered, a server accepts connections again, or the servers are known to have terminated. A
+    /// harmless request loses a few milliseconds by this.
+    pub(super) fn is_held(&self, key: PortionKey) -> bool {
         let request = self.portions[key].job.fingerprint;
-        let waits = |request| self.crashes.waits(self.now, request);
-        self.crashes.has_suspects() && request.is_some_and(waits)
+        let held = |request| self.crashes.must_hold(self.now, request);
+        self.crashes.has_suspects() && request.is_some_and(held)
     }
 
-    /// Whether a portion gets no second copy now.
-    pub(super) fn stalls(&self, key: PortionKey) -> bool {
+    /// Whether a portion must not be hedged now, because its request is suspected of crashing
+    /// servers.
+    pub(super) fn hedge_suppressed(&self, key: PortionKey) -> bool {
         let request = self.portions[key].job.fingerprint;
-        let stalls = |request| self.crashes.stalls(self.now, request);
-        self.crashes.has_suspects() && request.is_some_and(stalls)
+        let suppressed = |request| self.crashes.has_many_suspects(self.now, request);
+        self.crashes.has_suspects() && request.is_some_and(suppressed)
     }
 
-    /// A connection to a server is open.
+    /// Clears the suspicion of a termination when a connection to a server opens.
     pub(super) fn server_listens(&mut self, key: ServerKey) {
         if self.crashes.has_suspects() {
-            self.crashes.trust(key);
-            self.look_at_parts();
+            self.crashes.clear_suspect(key);
+            self.mark_waiting_services();
         }
     }
 
-    /// Refuses the waiting parts of requests under which servers are known to have ended.
-    pub(super) fn refuse_waiting(&mut self, out: &mut Vec<Action>) {
+    /// Refuses the queued portions of requests under which servers are known to have crashed.
+    pub(super) fn refuse_poison_requests(&mut self, out: &mut Vec<Action>) {
         if !self.crashes.has_suspects() {
             return;
         }
-        let failed = self.crashes.failed();
-        let of_failed = |portion: &Portion| {
+        let poison = self.crashes.poison_requests();
+        let is_poison = |portion: &Portion| {
             let request = portion.job.fingerprint;
-            portion.place.is_some() && request.is_some_and(|request| failed.contains(&request))
+            portion.place.is_some() && request.is_some_and(|request| poison.contains(&request))
         };
-        let waiting = self.portions.iter().filter(|(_, portion)| of_failed(portion));
+        let waiting = self.portions.iter().filter(|(_, portion)| is_poison(portion));
         let waiting: Vec<PortionKey> = waiting.map(|(key, _)| key).collect();
         for key in waiting {
-            self.finish(key, Refused::with(self.standing(key), Reason::TargetLost), out);
+            self.finish(key, Refused::with(self.current_verdict(key), Reason::TargetLost), out);
         }
     }
 
-    /// A call was given up here: nothing is known of its end.
+    /// Removes a call that this instance abandoned from the counts of its request. The outcome of
+    /// the call stays unknown.
     pub(super) fn call_abandoned(&mut self, attempt: &Attempt, out: &mut Vec<Action>) {
         if let Some(request) = attempt.job.fingerprint {
             self.crashes.end(request, |open| open.calls -= 1);
-            self.tell_ends(out);
+            self.report_crashes(out);
         }
     }
 
+    /// Records a lost call as evidence against its request and holds its portions for
+    /// [`HOLD_TIME`].
     fn connection_lost(&mut self, key: ServerKey, request: Fingerprint) {
         let losses = &mut self.servers[key].losses;
         losses.retain(|loss| loss.request != request);
-        if losses.len() >= LOSSES {
+        if losses.len() >= MAX_LOSSES_PER_SERVER {
             losses.remove(0);
         }
         losses.push(Loss { request, at: self.now });
-        self.crashes.suspect(self.now, request, key);
-        self.pump_at(self.servers[key].service, self.now + HOLD);
+        self.crashes.add_suspect(self.now, request, key);
+        self.pump_at(self.servers[key].service, self.now + HOLD_TIME);
     }
 
-    /// Nothing listens at a server's address.
+    /// Handles a refused connection: no process listens at the address of the server, so its
+    /// process has terminated.
     pub(super) fn lane_refused(&mut self, key: LaneKey, out: &mut Vec<Action>) {
         if let Some(lane) = self.lanes.get(key) {
             let server = lane.server;
-            self.server_ended(server, self.servers[server].incarnation, out);
+            self.server_terminated(server, self.servers[server].incarnation, out);
         }
         self.closed(key, out);
     }
 
-    /// An incarnation of a server is known to have ended.
-    pub(super) fn server_ended(&mut self, key: ServerKey, incarnation: u64, out: &mut Vec<Action>) {
+    /// Records that an incarnation of a server is known to have terminated, with the requests of
+    /// its lost calls.
+    pub(super) fn server_terminated(
+        &mut self,
+        key: ServerKey,
+        incarnation: u64,
+        out: &mut Vec<Action>,
+    ) {
         let server = &mut self.servers[key];
         let mut losses = std::mem::take(&mut server.losses);
-        losses.retain(|loss| self.now.since(loss.at) < EVIDENCE_AGE);
+        losses.retain(|loss| self.now.since(loss.at) < EVIDENCE_MAX_AGE);
         if losses.is_empty() {
             return;
         }
         let incarnation = Incarnation { server: Arc::clone(&server.name), number: incarnation };
-        self.crashes.server_ended(self.now, key, incarnation, &losses);
-        self.tell_ends(out);
+        self.crashes.server_terminated(self.now, key, incarnation, &losses);
+        self.report_crashes(out);
     }
 
-    fn tell_ends(&mut self, out: &mut Vec<Action>) {
+    /// Reports crashed servers whose requests are settled, and lets held portions be considered
+    /// again.
+    fn report_crashes(&mut self, out: &mut Vec<Action>) {
         if self.crashes.has_suspects() {
-            self.look_at_parts();
+            self.mark_waiting_services();
         }
-        let ends = self.crashes.take_settled(self.now).into_iter();
-        out.extend(ends.map(|end| Action::Crashed {
-            server: end.incarnation.server,
-            incarnation: end.incarnation.number,
-            at: end.lost_at,
-            requests: end.requests,
+        let settled = self.crashes.take_settled(self.now).into_iter();
+        out.extend(settled.map(|crash| Action::Crashed {
+            server: crash.incarnation.server,
+            incarnation: crash.incarnation.number,
+            at: crash.lost_at,
+            requests: crash.requests,
         }));
     }
 }
 
-/// Whether a call's end was the word of the server that it was sent to: another one may have its address and
-/// refuse what is not for it.
-fn is_of_server(outcome: &Outcome) -> bool {
+/// Whether the outcome of a call comes from the server to which the call was sent. Another server
+/// may have taken over its address and refuse requests that are not addressed to itself.
+fn is_from_server(outcome: &Outcome) -> bool {
     match outcome {
         Outcome::Answer(_) => true,
         Outcome::Refusal(refusal) => refusal.reason() != Reason::TargetLeaving,
--- a/crates/core/src/leaf/crash/table.rs
+++ b/crates/core/src/leaf/crash/table.rs
@@ -1,4 +1,4 @@
-//! Table of open requests and of the servers suspected to have ended under them.
+//! Table of open requests and of the servers suspected to have crashed while running them.
 
 use std::time::Duration;
 
@@ -9,90 +9,93 @@
 use crate::leaf::server::ServerKey;
 use crate::time::Instant;
 
-/// Age up to which a lost connection counts as evidence against the requests that it carried.
-pub(super) const EVIDENCE_AGE: Duration = Duration::from_secs(5);
-/// Lost calls kept of one server. Servers work on a few requests at once.
-pub(super) const LOSSES: usize = 16;
+/// Maximum age at which a lost connection counts as evidence against the requests that it carried.
+pub(super) const EVIDENCE_MAX_AGE: Duration = Duration::from_secs(5);
+/// Maximum number of lost calls kept per server. A server works on only a few requests at once.
+pub(super) const MAX_LOSSES_PER_SERVER: usize = 16;
 
-/// Suspected servers from which on a request's parts wait.
-const SUSPECTS: usize = 3;
-/// How long a part whose connection was lost waits for an answer to another part.
-pub(super) const HOLD: Duration = Duration::from_millis(50);
+/// Number of suspected servers from which the portions of a request are held.
+const MIN_SUSPECTS: usize = 3;
+/// Time for which a portion with a lost connection is held until another portion of the request is
+/// answered.
+pub(super) const HOLD_TIME: Duration = Duration::from_millis(50);
 
-/// A call whose connection was lost before an answer.
+/// A call whose connection was lost before an answer arrived.
 #[derive(Clone, Copy, Debug)]
 pub(in crate::leaf) struct Loss {
     pub(super) request: Fingerprint,
     pub(super) at: Instant,
 }
 
-/// A server suspected to have ended under a request.
+/// A server suspected to have crashed while running a request.
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     server: ServerKey,
-    /// It is known to have ended.
-    ended: bool,
+    /// The server process is known to have terminated.
+    terminated: bool,
     at: Instant,
 }
 
-/// An incarnation of a server that has ended.
+/// A terminated incarnation of a server.
 #[derive(Debug)]
-pub(super) struct End {
+pub(super) struct Crash {
     pub(super) incarnation: Incarnation,
-    /// When the first of its calls broke off.
+    /// Time at which the first call at the server lost its connection.
     pub(super) lost_at: Instant,
-    /// Requests at the server when it ended, each once.
+    /// Requests that were at the server when it terminated, each listed once.
     pub(super) requests: Vec<Fingerprint>,
     at: Instant,
 }
 
-/// What is open of a request.
+/// Numbers of open calls and portions of a request.
 ///
-/// Invariant: kept as long as one of them is not zero.
+/// Invariant: kept while at least one of the numbers is not zero.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Open {
+pub(super) struct OpenCounts {
     pub(super) calls: u32,
-    /// Portions without a reply.
+    /// Number of portions without a reply.
     pub(super) portions: u32,
 }
 
-/// What is known of the requests at servers.
+/// Evidence about the requests that are at servers, by fingerprint.
 #[derive(Debug, Default)]
 pub(in crate::leaf) struct Crashes {
-    /// Requests that are open here.
-    open: Map<Fingerprint, Open>,
-    /// Requests that servers answered.
+    /// Requests with open calls or portions at this instance.
+    open: Map<Fingerprint, OpenCounts>,
+    /// Requests recently answered by a server.
     answered: Recent<Fingerprint>,
-    /// Servers that seem to have ended under each request that no server has answered.
+    /// Servers suspected to have crashed under each request that no server has answered.
     suspects: Map<Fingerprint, Vec<Suspect>>,
-    /// Ends that are not told yet, as a request of theirs may still be answered by another server.
-    ends: Vec<End>,
+    /// Crashes that are not reported yet, because another server may still answer one of their
+    /// requests.
+    pending: Vec<Crash>,
 }
 
 impl Crashes {
-    /// A call or a portion of a request begins.
-    pub(super) fn begin(&mut self, request: Fingerprint, begin: impl FnOnce(&mut Open)) {
-        begin(self.open.entry(request).or_default());
+    /// Counts a new call or portion of a request.
+    pub(super) fn begin(&mut self, request: Fingerprint, update: impl FnOnce(&mut OpenCounts)) {
+        update(self.open.entry(request).or_default());
     }
 
-    /// A call or a portion of a request has ended.
-    pub(super) fn end(&mut self, request: Fingerprint, end: impl FnOnce(&mut Open)) {
+    /// Removes an ended call or portion from the counts of its request.
+    pub(super) fn end(&mut self, request: Fingerprint, update: impl FnOnce(&mut OpenCounts)) {
         if let Some(open) = self.open.get_mut(&request) {
-            end(open);
+            update(open);
             if open.calls == 0 && open.portions == 0 {
                 self.open.remove(&request);
             }
         }
     }
 
+    /// Number of open calls of a request.
     fn calls(&self, request: Fingerprint) -> usize {
         self.open.get(&request).map_or(0, |open| open.calls as usize)
     }
 
-    /// A call of a request broke off at a server.
-    pub(super) fn suspect(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
+    /// Adds a server that lost the connection of a call to the suspects of its request.
+    pub(super) fn add_suspect(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
         self.suspects.retain(|_, suspects| {
-            suspects.retain(|suspect| now.since(suspect.at) < EVIDENCE_AGE);
+            suspects.retain(|suspect| now.since(suspect.at) < EVIDENCE_MAX_AGE);
             !suspects.is_empty()
         });
         if self.answered.contains(&request) {
@@ -100,17 +103,20 @@
         }
         let suspects = self.suspects.entry(request).or_default();
         suspects.retain(|suspect| suspect.server != server);
-        suspects.push(Suspect { server, ended: false, at: now });
+        suspects.push(Suspect { server, terminated: false, at: now });
     }
 
-    /// A server takes connections.
-    pub(super) fn trust(&mut self, server: ServerKey) {
-        let alive = |suspect: &Suspect| suspect.server == server && !suspect.ended;
-        self.suspects.values_mut().for_each(|suspects| suspects.retain(|suspect| !alive(suspect)));
+    /// Removes a server that accepts connections from all suspects, unless its process is known to
+    /// have terminated.
+    pub(super) fn clear_suspect(&mut self, server: ServerKey) {
+        let is_cleared = |suspect: &Suspect| suspect.server == server && !suspect.terminated;
+        self.suspects
+            .values_mut()
+            .for_each(|suspects| suspects.retain(|suspect| !is_cleared(suspect)));
     }
 
-    /// An incarnation of a server has ended; these calls broke off there.
-    pub(super) fn server_ended(
+    /// Records that an incarnation of a server has terminated and lost these calls.
+    pub(super) fn server_terminated(
         &mut self,
         now: Instant,
         key: ServerKey,
@@ -118,14 +124,17 @@
         losses: &[Loss],
     ) {
         let suspects = self.suspects.values_mut().flatten();
-        suspects.filter(|suspect| suspect.server == key).for_each(|suspect| suspect.ended = true);
+        suspects
+            .filter(|suspect| suspect.server == key)
+            .for_each(|suspect| suspect.terminated = true);
         let lost_at = losses.iter().map(|loss| loss.at).min().unwrap_or(now);
         let requests = losses.iter().map(|loss| loss.request).collect();
-        self.ends.push(End { incarnation, lost_at, requests, at: now });
+        self.pending.push(Crash { incarnation, lost_at, requests, at: now });
     }
 
-    /// A server answered a request; whether servers seemed to have ended under it.
-    pub(super) fn answered(&mut self, now: Instant, request: Fingerprint) -> bool {
+    /// Records that a server answered a request. Returns whether servers were suspected to have
+    /// crashed under the request.
+    pub(super) fn record_answer(&mut self, now: Instant, request: Fingerprint) -> bool {
         self.answered.insert(now, request);
         self.suspects.remove(&request).is_some()
     }
@@ -138,45 +147,51 @@
         !self.suspects.is_empty()
     }
 
-    /// Whether so many servers seem to have ended under a request that no other is to get it.
-    pub(super) fn stalls(&self, now: Instant, request: Fingerprint) -> bool {
-        self.fresh(now, request, EVIDENCE_AGE) >= SUSPECTS
+    /// Whether so many servers are suspected to have crashed under a request that no other server
+    /// may get it.
+    pub(super) fn has_many_suspects(&self, now: Instant, request: Fingerprint) -> bool {
+        self.recent_suspects(now, request, EVIDENCE_MAX_AGE) >= MIN_SUSPECTS
     }
 
-    /// The same, or one has while calls of the request that may tell are open.
-    pub(super) fn waits(&self, now: Instant, request: Fingerprint) -> bool {
-        let lately = self.fresh(now, request, HOLD);
-        self.stalls(now, request) || (lately > 0 && self.calls(request) > 0)
+    /// Whether the portions of a request are held: many servers are suspected to have crashed under
+    /// it, or one recently while open calls of the request may still clear it.
+    pub(super) fn must_hold(&self, now: Instant, request: Fingerprint) -> bool {
+        let recent = self.recent_suspects(now, request, HOLD_TIME);
+        self.has_many_suspects(now, request) || (recent > 0 && self.calls(request) > 0)
     }
 
-    /// Servers that seem to have ended under a request in a span of time.
-    fn fresh(&self, now: Instant, request: Fingerprint, span: Duration) -> usize {
-        let fresh = |suspect: &&Suspect| now.since(suspect.at) < span;
-        self.suspects.get(&request).map_or(0, |suspects| suspects.iter().filter(fresh).count())
+    /// Number of servers suspected under a request within a span of time.
+    fn recent_suspects(&self, now: Instant, request: Fingerprint, span: Duration) -> usize {
+        let is_recent = |suspect: &&Suspect| now.since(suspect.at) < span;
+        self.suspects.get(&request).map_or(0, |suspects| suspects.iter().filter(is_recent).count())
     }
 
-    /// Requests without an open call under which so many servers are known to have ended.
-    pub(super) fn failed(&self) -> Vec<Fingerprint> {
-        let ended = |suspects: &[Suspect]| {
-            suspects.iter().filter(|suspect| suspect.ended).count() >= SUSPECTS
+    /// Requests without an open call under which at least [`MIN_SUSPECTS`] servers are known to
+    /// have crashed.
+    pub(super) fn poison_requests(&self) -> Vec<Fingerprint> {
+        let confirmed = |suspects: &[Suspect]| {
+            suspects.iter().filter(|suspect| suspect.terminated).count() >= MIN_SUSPECTS
         };
         let suspects = self.suspects.iter();
-        let failed =
-            suspects.filter(|(request, suspects)| ended(suspects) && self.calls(**request) == 0);
-        failed.map(|(request, _)| *request).collect()
+        let poison = suspects
+            .filter(|(request, suspects)| confirmed(suspects) && self.calls(**request) == 0);
+        poison.map(|(request, _)| *request).collect()
     }
 
-    /// Ends whose requests are all settled; requests that were answered don't count among them.
-    pub(super) fn take_settled(&mut self, now: Instant) -> Vec<End> {
-        if self.ends.is_empty() {
+    /// Removes and returns the crashes whose requests have no open call or portion. Answered
+    /// requests are dropped from the crashes first.
+    pub(super) fn take_settled(&mut self, now: Instant) -> Vec<Crash> {
+        if self.pending.is_empty() {
             return Vec::new();
         }
-        for end in &mut self.ends {
-            end.requests.retain(|request| !self.answered.contains(request));
+        for crash in &mut self.pending {
+            crash.requests.retain(|request| !self.answered.contains(request));
         }
-        self.ends.retain(|end| !end.requests.is_empty() && now.since(end.at) < EVIDENCE_AGE);
+        self.pending
+            .retain(|crash| !crash.requests.is_empty() && now.since(crash.at) < EVIDENCE_MAX_AGE);
         let open = &self.open;
-        let settled = |end: &mut End| !end.requests.iter().any(|one| open.contains_key(one));
-        self.ends.extract_if(.., settled).collect()
+        let settled =
+            |crash: &mut Crash| !crash.requests.iter().any(|request| open.contains_key(request));
+        self.pending.extract_if(.., settled).collect()
     }
 }
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which queued portion goes to which server now.
+//! Dispatch: decides which queued portion is sent to which server now.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 use super::attempt::Attempt;
 use super::event::{Action, LaneKey};
-use super::intake::UNLEARNED;
+use super::intake::DEFAULT_CALL_TIME;
 use super::kinds::Kind;
 use super::lane;
 use super::machine::Machine;
@@ -22,57 +22,64 @@
 use crate::eligible::Mark;
 use crate::time::Instant;
 
-/// Queued portions looked at when the first ones find no server.
-const SCAN: usize = 8;
-/// Failed openings in a row after which a server without a connection counts as unreachable.
-pub(super) const UNREACHABLE: u32 = 3;
-/// How much a failing server is avoided: a failure rate of one weighs like this many call times.
-const FAILURE_COST: f64 = 4.0;
-/// How much a server of another zone is avoided: bytes between zones are paid for, and a server
-/// nearby that is as free as one far away answers a little sooner. Of 1.5, 2, 3 and 6, measured by
-/// what answers are worth less what bytes cost, seven to nine instances: 3 gains 0.004 on a quiet day
-/// and loses 0.03 on a loaded one, as busy servers nearby keep calls; 6 loses on both.
-const FAR: f64 = 2.0;
+/// Number of queued portions considered for dispatch when no server can take the first ones.
+const DISPATCH_SCAN_LIMIT: usize = 8;
+/// Number of consecutive failures to connect after which a server without a connection counts as
+/// unreachable.
+pub(super) const UNREACHABLE_OPEN_FAILURES: u32 = 3;
+/// Weight of failures in the cost of a server: a failure rate of 1 adds this many times the
+/// expected call time.
+const FAILURE_COST_FACTOR: f64 = 4.0;
+/// Factor on the cost of a server in another availability zone, because traffic between zones is
+/// charged and an equally loaded server in the same zone answers a little sooner.
+///
+/// With seven to nine instances, 1.5, 2, 3 and 6 were compared by the value of answers minus the
+/// cost of traffic: 3 gains 0.004 under light load and loses 0.03 under high load, because busy
+/// servers of the own zone keep their calls; 6 loses in both cases.
+const REMOTE_ZONE_COST_FACTOR: f64 = 2.0;
 
 impl Machine {
-    /// Dispatches for all services that changed in the event at hand.
+    /// Dispatches queued portions of all services that changed during the current event.
     pub(super) fn pump_marked(&mut self, out: &mut Vec<Action>) {
         while let Some(id) = self.marked.pop() {
             if let Some(service) = self.services.get_mut(id) {
                 service.marked = false;
-                self.pump(id, out);
+                self.dispatch_service(id, out);
             }
         }
     }
 
-    fn pump(&mut self, id: ServiceId, out: &mut Vec<Action>) {
-        self.refuse_waiting(out);
-        self.hedge_overdue(id, out);
+    /// Sends the hedged calls that are due and queued portions of one service, as far as its
+    /// servers can take them.
+    fn dispatch_service(&mut self, id: ServiceId, out: &mut Vec<Action>) {
+        self.refuse_poison_requests(out);
+        self.send_due_hedges(id, out);
         while self.dispatch_one(id, out) {}
         if !self.services[id].queue.is_empty() {
             self.maintain(id, out);
         }
     }
 
-    /// Sends or refuses one queued portion; `false` when nothing can be done now.
+    /// Sends, refuses or requeues one queued portion. Returns `false` when no portion can be
+    /// handled now.
     fn dispatch_one(&mut self, id: ServiceId, out: &mut Vec<Action>) -> bool {
         let service = &self.services[id];
         if service.queue.is_empty() || !self.has_room(id) {
             return false;
         }
-        let order = service.queue.order().filter(|key| !self.waits_for_news(*key));
-        let head: Vec<PortionKey> = order.take(SCAN).collect();
+        let order = service.queue.order().filter(|key| !self.is_held(*key));
+        let head: Vec<PortionKey> = order.take(DISPATCH_SCAN_LIMIT).collect();
         for key in head {
             if self.too_late(key) {
-                let refused = Refused::with(self.standing(key), Reason::WouldMissDeadline);
+                let refused = Refused::with(self.current_verdict(key), Reason::WouldMissDeadline);
                 self.finish(key, refused, out);
                 return true;
             }
-            if self.misses(key) {
-                self.put_last(key);
+            if self.misses_objective(key) {
+                self.move_to_late_class(key);
                 return true;
             }
-            if let Some(server) = self.choose(id, key) {
+            if let Some(server) = self.choose_server(id, key) {
                 self.dispatch(key, server, out);
                 return true;
             }
@@ -80,7 +87,8 @@
         false
     }
 
-    /// Whether the service may have one more call in flight and some server can take it.
+    /// Whether the limits of the service allow one more call in flight and some server can take the
+    /// call.
     pub(super) fn has_room(&self, id: ServiceId) -> bool {
         let service = &self.services[id];
         let limit = service.limits().in_flight;
@@ -90,57 +98,61 @@
         service.servers.iter().any(|server| self.can_send(*server))
     }
 
-    /// Whether the server has a free slot and an idle connection.
+    /// Whether a server has a free slot and an idle connection, and is not excluded from new work.
     pub(super) fn can_send(&self, key: ServerKey) -> bool {
         let server = &self.servers[key];
-        let free = !self.settings.queueing || server.in_flight < self.room_at(server);
-        let spent = self.warm_at(key) > self.now;
-        free && server.exclusion(spent).is_none() && self.idle_lane(key).is_some()
+        let free = !self.settings.queueing || server.in_flight < self.max_calls(server);
+        let warmup_limited = self.next_warmup_request_at(key) > self.now;
+        free && server.exclusion(warmup_limited).is_none() && self.idle_lane(key).is_some()
     }
 
-    /// Calls that a server may hold.
+    /// Maximum number of calls in flight at a server.
     ///
-    /// As many as it has slots; one more while work waits and the server moves on. With the slots alone
-    /// each slot stands idle for the way there and back after every call, a tenth of the time with calls
-    /// of ten milliseconds: one more raised the worth of days of slow and of shedding servers by 0.02 to
-    /// 0.05. A server that stands still gets no more, as what it holds would wait with it.
-    fn room_at(&self, server: &Server) -> u32 {
+    /// The limit is the number of slots, plus one call while work is queued and the server makes
+    /// progress. With the slots alone, each slot is idle for a network round trip after every call:
+    /// a tenth of the time with calls of 10 ms. The extra call raised the value of answers by 0.02
+    /// to 0.05 in scenarios with slow and with load-shedding servers. A stalled server gets no
+    /// extra call, because the call would wait with the others.
+    fn max_calls(&self, server: &Server) -> u32 {
         let slots = server.capacity(self.now);
         let service = &self.services[server.service];
         if !self.settings.by_need || service.queue.is_empty() {
             return slots;
         }
-        let usual = service.kinds.all().mean().unwrap_or(UNLEARNED);
-        slots + u32::from(self.oldest_call(server) < usual)
+        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
+        slots + u32::from(self.oldest_call_age(server) < mean)
     }
 
+    /// Returns an idle pooled connection to a server.
     pub(super) fn idle_lane(&self, key: ServerKey) -> Option<LaneKey> {
         let mut lanes = self.servers[key].lanes.iter().copied();
         lanes.find(|lane| self.lanes[*lane].state == lane::State::Idle)
     }
 
-    /// Whether a portion cannot be done in time even if it is sent now.
+    /// Whether a portion could not be answered by its deadline even if it were sent now.
     fn too_late(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
-        let fast = match self.settings.queueing {
-            true => self.fast(portion.service, portion.kind),
+        let fast_call = match self.settings.queueing {
+            true => self.fast_call_time(portion.service, portion.kind),
             false => Duration::ZERO,
         };
-        self.now + fast >= portion.deadline
+        self.now + fast_call >= portion.deadline
     }
 
-    /// Whether a portion that has a time to be there by can't be there any more, even if it is sent
-    /// now; it then goes behind those that can.
+    /// Whether a portion with a latency objective would miss it even if the portion were sent now.
+    /// Such a portion is moved behind those that can still meet theirs.
     ///
-    /// In overload every portion would wait a little too long, and hardly any be in time.
-    fn misses(&self, key: PortionKey) -> bool {
+    /// Without this rule, in overload every portion would wait slightly too long and hardly any
+    /// would meet its objective.
+    fn misses_objective(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
-        let fast = self.fast(portion.service, portion.kind);
+        let fast_call = self.fast_call_time(portion.service, portion.kind);
         let timely = portion.place.is_some_and(|place| !place.is_late());
-        timely && portion.timely_at.is_some_and(|at| self.now + fast >= at)
+        timely && portion.timely_at.is_some_and(|at| self.now + fast_call >= at)
     }
 
-    fn put_last(&mut self, key: PortionKey) {
+    /// Moves a queued portion to the class of portions that miss their latency objective.
+    fn move_to_late_class(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
         let queue = &mut self.services[portion.service].queue;
         if let Some(place) = portion.place.take() {
@@ -149,31 +161,35 @@
         portion.place = Some(queue.push(Class::LATE, portion.arrived, key));
     }
 
-    /// The server for a portion's next call.
-    fn choose(&mut self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
+    /// Selects the server for the next call of a portion, with the configured strategy.
+    fn choose_server(&mut self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
         match self.settings.selection {
-            Selection::RoundRobin => self.choose_in_turn(id, key),
+            Selection::RoundRobin => self.choose_round_robin(id, key),
             _ => self.choose_by_outcome(id, key),
         }
     }
 
-    fn choose_in_turn(&mut self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
+    /// Selects the next server in round-robin order that can take the portion.
+    fn choose_round_robin(&mut self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
         let work = &self.portions[key].job.work;
         let service = &self.services[id];
         let count = service.servers.len();
-        let turn = (0..count).map(|step| (service.cursor + step) % count);
-        let found = turn.map(|place| (place, service.servers[place])).find(|(_, server)| {
-            self.may_run(key, *server) && self.can_send(*server) && self.holds(*server, work)
+        let order = (0..count).map(|step| (service.cursor + step) % count);
+        let found = order.map(|index| (index, service.servers[index])).find(|(_, server)| {
+            self.is_eligible_for(key, *server)
+                && self.can_send(*server)
+                && self.serves_version(*server, work)
         });
-        let (place, server) = found?;
-        self.services[id].cursor = place + 1;
+        let (index, server) = found?;
+        self.services[id].cursor = index + 1;
         Some(server)
     }
 
-    /// The server with the shortest expected call time, failures counted as delay.
+    /// Selects the server with the lowest cost: its expected call time, increased by load and
+    /// failures.
     ///
-    /// A server held suspect gets one call at a time after each of its pauses, so that its recovery
-    /// shows. Unrepeatable work is not used for such trials.
+    /// A suspected server gets one call at a time after each of its pauses, so that its recovery is
+    /// detected. Non-idempotent work is not used for these trial calls.
     fn choose_by_outcome(&mut self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
         let portion = &self.portions[key];
         let service = &self.services[id];
@@ -182,15 +198,15 @@
         let count = service.servers.len();
         for step in 0..count {
             let candidate = service.servers[(service.cursor + step) % count];
-            let may_go =
-                self.may_run(key, candidate) && self.may_send(candidate, &portion.job.work);
-            if !may_go || self.shed_back(key, candidate) {
+            let usable =
+                self.is_eligible_for(key, candidate) && self.can_take(candidate, &portion.job.work);
+            if !usable || self.already_shed(key, candidate) {
                 continue;
             }
             let server = &self.servers[candidate];
             if suspects.contains(&candidate) {
-                let tries = !portion.unrepeatable && !portion.tried.contains(&candidate);
-                if tries && self.ready_for_trial(server) {
+                let trial_allowed = !portion.unrepeatable && !portion.tried.contains(&candidate);
+                if trial_allowed && self.ready_for_trial(server) {
                     return Some(candidate);
                 }
                 continue;
@@ -204,79 +220,90 @@
         best.map(|(_, server)| server)
     }
 
-    /// A free slot, an idle connection, the version, and no pause after shedding.
-    fn may_send(&self, key: ServerKey, work: &wire::Work) -> bool {
+    /// Whether a server can take this work now: it has a free slot, an idle connection and the
+    /// index version, and no pause after load shedding is in force.
+    fn can_take(&self, key: ServerKey, work: &wire::Work) -> bool {
         let server = &self.servers[key];
         let shedding = self.now < server.health.shed_until();
-        !shedding && self.can_send(key) && self.holds(key, work)
+        !shedding && self.can_send(key) && self.serves_version(key, work)
     }
 
-    /// Whether the server has shed what it got since it last answered, this portion too, while
-    /// another may still take the portion.
+    /// Whether a server already shed this portion and has answered no call since its last shedding,
+    /// while another server may still take the portion.
     ///
     /// A shedding server looks free as soon as its pause ends. A portion that waits for a busy
-    /// replica would go back and forth until its tries are used up, and its shards be missing
-    /// although the replica would have answered in time. Other portions try the shedding server.
-    fn shed_back(&self, key: PortionKey, candidate: ServerKey) -> bool {
+    /// replica would be sent to the shedding server again and again until its attempts are used up,
+    /// and its shards would be missing although the replica would have answered in time. Other
+    /// portions still try the shedding server.
+    fn already_shed(&self, key: PortionKey, candidate: ServerKey) -> bool {
         let portion = &self.portions[key];
         let sheds = |server: ServerKey| {
             self.servers[server].health.sheds() && portion.tried.contains(&server)
         };
         let takes = |key: &ServerKey| {
             let server = &self.servers[*key];
-            let reachable = server.in_flight > 0 || server.open_failures < UNREACHABLE;
+            let reachable =
+                server.in_flight > 0 || server.open_failures < UNREACHABLE_OPEN_FAILURES;
             let usable = server.accepts() && reachable && !server.health.suspect();
             let in_time = server.health.shed_until() < portion.deadline;
-            let holds = self.holds(*key, &portion.job.work);
-            usable && in_time && holds && !sheds(*key)
+            let serves_version = self.serves_version(*key, &portion.job.work);
+            usable && in_time && serves_version && !sheds(*key)
         };
-        let takes = |server: &ServerKey| takes(server) && self.may_run(key, *server);
+        let takes = |server: &ServerKey| takes(server) && self.is_eligible_for(key, *server);
         sheds(candidate) && self.services[portion.service].servers.iter().any(takes)
     }
 
-    /// Whether a server is one of those that a portion may run on.
-    pub(super) fn may_run(&self, key: PortionKey, candidate: ServerKey) -> bool {
+    /// Whether a portion may run on a server, according to the servers that its entry instance
+    /// selected.
+    pub(super) fn is_eligible_for(&self, key: PortionKey, candidate: ServerKey) -> bool {
         let eligible = self.portions[key].eligible.as_deref();
         self.is_eligible(eligible, candidate)
     }
 
+    /// Whether the list of eligible servers contains a server; `None` allows every server.
     pub(super) fn is_eligible(&self, eligible: Option<&[Mark]>, candidate: ServerKey) -> bool {
         eligible.is_none_or(|marks| marks.contains(&self.servers[candidate].mark))
     }
 
-    pub(super) fn holds(&self, key: ServerKey, work: &wire::Work) -> bool {
-        // The routes name the services of a version; their servers answer for every version.
+    /// Whether a server serves the index version that the work asks for.
+    pub(super) fn serves_version(&self, key: ServerKey, work: &wire::Work) -> bool {
+        // A routing version determines the services of a forwarded message; their servers answer
+        // requests under every routing version.
         work.forward.is_some() || self.servers[key].holds(self.now, &work.index, work.version)
     }
 
+    /// Whether a suspected server may get a trial call: its pause has ended and it has no call in
+    /// flight.
     fn ready_for_trial(&self, server: &Server) -> bool {
         self.now >= server.health.paused_until() && server.in_flight == 0
     }
 
-    /// Expected call time in microseconds, made longer by load, failures and an earlier failed try.
+    /// Cost of sending a call to a server: the expected call time in seconds, multiplied by factors
+    /// for load, failures, an earlier failed attempt and another zone.
     fn cost(&self, id: ServiceId, kind: Kind, server: &Server, tried: bool) -> f64 {
-        let expected = self.expected(id, kind, server).as_secs_f64();
+        let expected_call_time = self.expected_call_time(id, kind, server).as_secs_f64();
         let load = f64::from(server.in_flight) / f64::from(server.capacity(self.now));
         let health = &server.health;
-        let failures = FAILURE_COST * (health.failure_rate(self.now) + health.shed_rate(self.now));
-        let again = if tried { 4.0 } else { 1.0 };
-        let near = self.settings.zone.is_empty() || self.settings.zone == server.zone;
-        let way = if near { 1.0 } else { FAR };
-        expected * (1.0 + load) * (1.0 + failures) * again * way
+        let failures =
+            FAILURE_COST_FACTOR * (health.failure_rate(self.now) + health.shed_rate(self.now));
+        let retry_factor = if tried { 4.0 } else { 1.0 };
+        let same_zone = self.settings.zone.is_empty() || self.settings.zone == server.zone;
+        let zone_factor = if same_zone { 1.0 } else { REMOTE_ZONE_COST_FACTOR };
+        expected_call_time * (1.0 + load) * (1.0 + failures) * retry_factor * zone_factor
     }
 
-    /// Call time to expect of a server, without what waits there.
-    fn expected(&self, id: ServiceId, kind: Kind, server: &Server) -> Duration {
-        let usual = self.mean(id, kind).unwrap_or(UNLEARNED);
+    /// Expected call time at a server, without the calls that already wait there.
+    fn expected_call_time(&self, id: ServiceId, kind: Kind, server: &Server) -> Duration {
+        let mean = self.mean(id, kind).unwrap_or(DEFAULT_CALL_TIME);
         let pace = server.health.pace(self.now).unwrap_or(1.0).max(0.5);
-        usual.mul_f64(pace).max(self.oldest_call(server))
+        mean.mul_f64(pace).max(self.oldest_call_age(server))
     }
 
-    /// Age of the oldest call that a server has not answered: it takes at least as long now.
+    /// Age of the oldest unanswered call at a server, a lower bound of its current call time.
     ///
-    /// A server that stands still for a moment shows it by nothing else, and the calls that go to it
-    /// meanwhile all wait until it goes on.
-    fn oldest_call(&self, server: &Server) -> Duration {
+    /// A server that stalls for a moment gives no other sign of it, and all calls sent to it
+    /// meanwhile wait until it continues.
+    fn oldest_call_age(&self, server: &Server) -> Duration {
         let busy = server.lanes.iter().filter_map(|lane| match self.lanes[*lane].state {
             lane::State::Busy(attempt) => self.attempts.get(attempt),
             _ => None,
@@ -285,10 +312,11 @@
         oldest.map_or(Duration::ZERO, |sent| self.now.since(sent))
     }
 
-    /// Servers that are held back because of their outcomes: the worst half at most.
+    /// Returns the servers that are suspected because of their call outcomes: at most the worst
+    /// half.
     ///
-    /// When most servers look as if they fail, the fault is likely on the watcher's side, such as
-    /// its network. Without the floor it would stop sending altogether.
+    /// When most servers appear to fail, the cause is probably on the side of this instance, such
+    /// as its network. Without the limit, the instance would stop sending altogether.
     pub(super) fn suspects(&self, id: ServiceId) -> Vec<ServerKey> {
         let mut all = self.services[id].servers.iter();
         if !all.any(|key| self.servers[*key].health.suspect()) {
@@ -305,7 +333,7 @@
         suspects
     }
 
-    /// Sends a queued portion.
+    /// Removes a portion from the queue, sends it to a server and schedules its hedge.
     fn dispatch(&mut self, key: PortionKey, server: ServerKey, out: &mut Vec<Action>) {
         let portion = &mut self.portions[key];
         let first = portion.calls == 0;
@@ -317,16 +345,16 @@
         }
         if first {
             if !portion.repeated {
-                service.budget.earn();
+                service.budget.earn_for_call();
             }
-            service.admission.dispatched(self.now, portion.class);
+            service.admission.record_dispatch(self.now, portion.class);
         }
-        self.send(key, server, out);
-        self.plan_hedge(key);
+        self.send_call(key, server, out);
+        self.schedule_hedge(key);
     }
 
-    /// Sends one call of a portion on an idle connection of the server.
-    pub(super) fn send(&mut self, key: PortionKey, to: ServerKey, out: &mut Vec<Action>) {
+    /// Sends one call of a portion on an idle pooled connection to the server.
+    pub(super) fn send_call(&mut self, key: PortionKey, to: ServerKey, out: &mut Vec<Action>) {
         let Some(lane) = self.idle_lane(to) else {
             return;
         };
@@ -349,7 +377,7 @@
             given_up: false,
         };
         self.call_began(&call);
-        self.warm(to);
+        self.record_warmup_request(to);
         let attempt = self.attempts.insert(call);
         let trial = self.trial(key, to, attempt);
         let portion = &mut self.portions[key];
@@ -363,12 +391,13 @@
         out.push(Action::Send {
             lane,
             attempt,
-            request: request(&portion.job.work, &portion.shards, id, timeout),
+            request: target_request(&portion.job.work, &portion.shards, id, timeout),
             timeout,
         });
     }
 
-    /// Asks for a look at the service's queue when a pause of one of its servers ends.
+    /// Schedules a dispatch of the service for the time at which a pause of one of its servers
+    /// ends.
     pub(super) fn pump_at(&mut self, id: ServiceId, at: Instant) {
         if at > self.now {
             self.timers.push(at, Timer::Pump(id));
@@ -376,7 +405,13 @@
     }
 }
 
-fn request(work: &wire::Work, shards: &[String], id: String, timeout: Duration) -> target::Request {
+/// Builds the request to the target server for the given shards.
+fn target_request(
+    work: &wire::Work,
+    shards: &[String],
+    id: String,
+    timeout: Duration,
+) -> target::Request {
     let millis = timeout.as_millis().max(1);
     target::Request {
         id,
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a call: what is learned, what is retried, what is replied.
+//! Handles the end of a call: updates statistics, then retries the portion or replies to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,22 +17,24 @@
 use super::verdict;
 use crate::count;
 
-/// Calls of one portion that may end without an answer.
-const FAILURES: u32 = 6;
-/// Extra calls of one query, over all layers, after which no further one is made.
-pub(super) const QUERY_EXTRA: u32 = 8;
+/// Maximum number of calls of one portion that may end without an answer.
+const MAX_FAILED_CALLS: u32 = 6;
+/// Maximum number of extra calls of one query, over all layers. No further extra call is made
+/// beyond this number.
+pub(super) const MAX_EXTRA_CALLS_PER_QUERY: u32 = 8;
 
-/// Whether the connection of a call that ended like this may carry another one.
-fn is_whole(outcome: &Outcome) -> bool {
+/// Whether the connection can be reused after a call with this outcome.
+fn is_complete(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_))
 }
 
-/// Takes a forwarded message's response for a failure where another server may do better; whether
-/// it was a whole response all the same.
+/// Treats the response to a forwarded message as a failure where another server may answer better.
+/// Also returns whether such a failure was a complete response, so that the connection can be
+/// reused.
 ///
-/// The response of an unrepeatable message stands as it is: it ran, and whoever asked must know how
-/// it ended.
-fn judged(attempt: &Attempt, outcome: Outcome) -> (Outcome, bool) {
+/// The response to a non-idempotent message is never changed: the message ran, and the caller must
+/// learn its result.
+fn classify_response(attempt: &Attempt, outcome: Outcome) -> (Outcome, bool) {
     let Some(forward) = &attempt.job.work.forward else {
         return (outcome, false);
     };
@@ -52,22 +54,25 @@
 }
 
 impl Machine {
+    /// Handles the end of a call with its outcome: releases its slot, updates statistics and
+    /// decides on its portion.
     pub(super) fn ended(&mut self, key: AttemptKey, outcome: Outcome, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
-        let (outcome, mismatched) = Self::checked(&attempt, outcome, out);
-        let (outcome, answered) = judged(&attempt, outcome);
-        let suspect = self.servers[attempt.server].health.suspect();
-        self.call_ended(&attempt, &outcome, answered, out);
-        self.release(&attempt, answered || is_whole(&outcome), mismatched, out);
-        self.learn(&attempt, &outcome, out);
-        self.note_suspicion(attempt.server, suspect, out);
-        self.close_call(key, &attempt, outcome, out);
+        let (outcome, mismatched) = Self::reject_mismatch(&attempt, outcome, out);
+        let (outcome, complete) = classify_response(&attempt, outcome);
+        let was_suspect = self.servers[attempt.server].health.suspect();
+        self.call_ended(&attempt, &outcome, complete, out);
+        self.release_connection(&attempt, complete || is_complete(&outcome), mismatched, out);
+        self.record_outcome(&attempt, &outcome, out);
+        self.log_suspicion_change(attempt.server, was_suspect, out);
+        self.resolve_call(key, &attempt, outcome, out);
     }
 
-    /// Tells a call's portion, or its record if it was replied to before, how the call ended.
-    fn close_call(
+    /// Passes the outcome of a call to its portion, or to the record of its request key if the
+    /// portion already has a reply.
+    fn resolve_call(
         &mut self,
         key: AttemptKey,
         attempt: &Attempt,
@@ -75,25 +80,30 @@
         out: &mut Vec<Action>,
     ) {
         match attempt.portion {
-            Some(portion) => self.conclude(portion, key, attempt, outcome, out),
-            None => self.settle(attempt, &outcome, out),
+            Some(portion) => self.resolve_portion(portion, key, attempt, outcome, out),
+            None => self.settle_record(attempt, &outcome, out),
         }
         self.mark(attempt.service);
     }
 
-    /// A call's connection is closed from here.
-    pub(super) fn lost(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
+    /// Ends a call as lost, because this instance closed its connection.
+    pub(super) fn end_as_lost(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
         self.services[attempt.service].in_flight -= 1;
         self.servers[attempt.server].in_flight -= 1;
         self.call_ended(&attempt, &Outcome::Lost, false, out);
-        self.close_call(key, &attempt, Outcome::Lost, out);
+        self.resolve_call(key, &attempt, Outcome::Lost, out);
     }
 
-    /// Treats an answer to something else as an error.
-    fn checked(attempt: &Attempt, outcome: Outcome, out: &mut Vec<Action>) -> (Outcome, bool) {
+    /// Treats an answer that does not match the request as an error. Also returns whether there was
+    /// such a mismatch.
+    fn reject_mismatch(
+        attempt: &Attempt,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) -> (Outcome, bool) {
         let Outcome::Answer(answer) = &outcome else {
             return (outcome, false);
         };
@@ -106,13 +116,20 @@
         (Outcome::Error, true)
     }
 
-    /// Frees the call's slot and its connection. A connection whose call did not end properly is
-    /// not used again: an answer still on its way would be taken for the next request's.
-    fn release(&mut self, attempt: &Attempt, whole: bool, mismatched: bool, out: &mut Vec<Action>) {
+    /// Frees the slot and the connection of an ended call. The connection is closed unless the
+    /// response was complete: a late answer on it would be taken for the answer to the next
+    /// request.
+    fn release_connection(
+        &mut self,
+        attempt: &Attempt,
+        reusable: bool,
+        mismatched: bool,
+        out: &mut Vec<Action>,
+    ) {
         self.services[attempt.service].in_flight -= 1;
         let server = &mut self.servers[attempt.server];
         server.in_flight -= 1;
-        if whole && !self.lanes[attempt.lane].closing {
+        if reusable && !self.lanes[attempt.lane].closing {
             self.lanes[attempt.lane].state = lane::State::Idle;
             self.idle(attempt.lane, out);
             return;
@@ -124,11 +141,11 @@
         self.maintain_server(attempt.server, out);
     }
 
-    /// Logs that a server is held back from now on, or not any more.
-    fn note_suspicion(&self, key: ServerKey, before: bool, out: &mut Vec<Action>) {
+    /// Logs that a server became suspected, or is no longer suspected.
+    fn log_suspicion_change(&self, key: ServerKey, was_suspect: bool, out: &mut Vec<Action>) {
         let server = &self.servers[key];
         let suspect = server.health.suspect();
-        if suspect != before {
+        if suspect != was_suspect {
             out.push(Action::Server {
                 name: Arc::clone(&server.name),
                 suspect,
@@ -137,8 +154,8 @@
         }
     }
 
-    /// Takes what the call's end says of the server.
-    fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, out: &mut Vec<Action>) {
+    /// Updates the health, load and call-time statistics of a server from the outcome of a call.
+    fn record_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, out: &mut Vec<Action>) {
         let elapsed = self.now.since(attempt.sent);
         match outcome {
             Outcome::Answer(answer) => {
@@ -155,7 +172,7 @@
             Outcome::Refusal(refusal) => {
                 let reason = verdict::reason(outcome, false);
                 let advice = Duration::from_millis(refusal.retry_after_ms.into());
-                self.learn_refusal(attempt, reason, advice, out);
+                self.record_refusal(attempt, reason, advice, out);
             }
             Outcome::Error | Outcome::Lost if !attempt.given_up => {
                 let server = &mut self.servers[attempt.server];
@@ -167,7 +184,9 @@
         }
     }
 
-    fn learn_refusal(
+    /// Applies the refusal of a call to the state of its server: leaving, version retired or
+    /// shedding load.
+    fn record_refusal(
         &mut self,
         attempt: &Attempt,
         reason: Reason,
@@ -195,8 +214,9 @@
         }
     }
 
-    /// Decides what becomes of a portion one of whose calls has ended.
-    fn conclude(
+    /// Handles a portion after one of its calls has ended: replies, retries, or waits for its other
+    /// calls.
+    fn resolve_portion(
         &mut self,
         key: PortionKey,
         ended: AttemptKey,
@@ -226,53 +246,60 @@
         if !portion.attempts.is_empty() {
             return;
         }
-        match self.retry(key, verdict, reason) {
-            Ok(()) => self.again(key, reason, out),
+        match self.authorize_retry(key, verdict, reason) {
+            Ok(()) => self.requeue(key, reason, out),
             Err(refused) => self.finish(key, refused, out),
         }
     }
 
-    /// Whether a portion without an open call may be sent again.
+    /// Checks whether a portion without an open call may be sent again, and spends an extra call if
+    /// it needs one.
     ///
-    /// A call that did not run costs its target nothing and is paced by the server's pauses. A call
-    /// that may have run is repeated at the expense of the service's budget, and never when the
-    /// portion is unrepeatable.
-    fn retry(&mut self, key: PortionKey, verdict: Verdict, reason: Reason) -> Result<(), Refused> {
+    /// A call that did not run costs the server nothing, and the pauses of the server limit its
+    /// repetition. Repeating a call that may have run spends the extra-call budget of the service,
+    /// and never happens when the portion is non-idempotent.
+    fn authorize_retry(
+        &mut self,
+        key: PortionKey,
+        verdict: Verdict,
+        reason: Reason,
+    ) -> Result<(), Refused> {
         let portion = &self.portions[key];
-        let standing = portion.verdict();
+        let portion_verdict = portion.verdict();
         let work = &portion.job.work;
         if portion.unrepeatable && portion.may_have_run {
-            return Err(Refused::with(standing, reason));
+            return Err(Refused::with(portion_verdict, reason));
         }
-        if portion.failures >= FAILURES || self.now >= portion.deadline {
-            return Err(Refused::with(standing, reason));
+        if portion.failures >= MAX_FAILED_CALLS || self.now >= portion.deadline {
+            return Err(Refused::with(portion_verdict, reason));
         }
         let eligible = portion.eligible.as_deref();
-        let outlook = self.outlook(portion.service, work, eligible, portion.deadline);
-        outlook.map_err(|refused| Refused { verdict: standing, ..refused })?;
+        let check = self.check_servers(portion.service, work, eligible, portion.deadline);
+        check.map_err(|refused| Refused { verdict: portion_verdict, ..refused })?;
         if !portion.may_go_out() {
-            return Err(Refused::with(standing, reason));
+            return Err(Refused::with(portion_verdict, reason));
         }
         let limits = self.services[portion.service].limits();
-        let arrived = reason != Reason::ConnectFailed;
-        if verdict == Verdict::NotRun && !(limits.count_refused && arrived) {
+        let reached_server = reason != Reason::ConnectFailed;
+        if verdict == Verdict::NotRun && !(limits.count_refused && reached_server) {
             return Ok(());
         }
-        let spent = work.extra_calls + portion.calls;
-        let budget = self.services[portion.service].budget.at(self.now);
-        match spent <= QUERY_EXTRA && budget.spend() {
+        let extra_calls = work.extra_calls + portion.calls;
+        let budget = self.services[portion.service].budget.refill(self.now);
+        match extra_calls <= MAX_EXTRA_CALLS_PER_QUERY && budget.spend() {
             true => Ok(()),
-            false => Err(Refused::with(standing, Reason::RetryBudget)),
+            false => Err(Refused::with(portion_verdict, Reason::RetryBudget)),
         }
     }
 
-    fn again(&mut self, key: PortionKey, reason: Reason, out: &mut Vec<Action>) {
+    /// Counts a retry and puts the portion back into the queue.
+    fn requeue(&mut self, key: PortionKey, reason: Reason, out: &mut Vec<Action>) {
         Self::count(count::Event::Retry, reason, out);
-        self.queue(key);
+        self.push_to_queue(key);
     }
 
-    /// Records what became of an unrepeatable call whose portion was replied to before.
-    fn settle(&mut self, attempt: &Attempt, outcome: &Outcome, out: &mut Vec<Action>) {
+    /// Records the outcome of a non-idempotent call whose portion already has a reply.
+    fn settle_record(&mut self, attempt: &Attempt, outcome: &Outcome, out: &mut Vec<Action>) {
         if matches!(outcome, Outcome::Answer(_)) {
             Self::count(count::Event::Drop, Reason::StaleAnswer, out);
         }
@@ -281,21 +308,22 @@
         };
         let state = match verdict::of(outcome) {
             Verdict::Ran => record::State::Ran,
-            // The entry was told that it may have run; it does not send it anywhere again.
+            // The entry instance got the verdict that the portion may have run, so it does not send
+            // the portion to any other instance.
             Verdict::NotRun => record::State::Withdrawn,
             _ => record::State::MayHaveRun,
         };
         self.records.settle(self.now, name, state);
     }
 
-    /// Refuses queued portions that no server can take any more.
+    /// Refuses queued portions that no server of the service can take any more.
     pub(super) fn recheck(&mut self, id: super::service::ServiceId, out: &mut Vec<Action>) {
-        let waiting: Vec<PortionKey> = self.services[id].queue.order().collect();
-        for key in waiting {
+        let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
+        for key in queued {
             let portion = &self.portions[key];
             let eligible = portion.eligible.as_deref();
-            let outlook = self.outlook(id, &portion.job.work, eligible, portion.deadline);
-            let Err(refused) = outlook else {
+            let check = self.check_servers(id, &portion.job.work, eligible, portion.deadline);
+            let Err(refused) = check else {
                 continue;
             };
             let verdict = portion.verdict();
--- a/crates/core/src/leaf/exclusion.rs
+++ b/crates/core/src/leaf/exclusion.rs
@@ -1,40 +1,42 @@
-//! The one rule that every call asks before it goes to a server: may the server get new work?
+//! Decides whether a server may get new work. Every call is checked against this rule before it is
+//! sent.
 //!
-//! First calls, retries, second copies, kept connections and questions for load reports all follow it.
-//! What is open at a server that becomes excluded goes on.
+//! First calls, retries, hedges, pooled connections and requests for load reports all follow the
+//! rule. Calls that are already open at a server when it becomes excluded continue.
 
-/// Why a server gets no new work.
+/// Reason why a server gets no new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// It is not published any more, or under another address.
+    /// The server is no longer published, or it is published with another address.
     Unlisted,
-    /// This instance has no share of its connections.
+    /// The connection share of this instance at the server is zero.
     NoShare,
-    /// Some source says that it leaves.
+    /// Some source reports that the server is leaving.
     Leaving,
-    /// An operator wants nothing sent to the servers of its availability zone.
+    /// The availability zone of the server is evacuated by an operator.
     Evacuated,
-    /// It warms up, and this instance has sent it as much as it may for now.
+    /// The server warms up, and this instance has sent it as many requests as are allowed for now.
     Warming,
 }
 
-/// What the rule looks at.
+/// State of a server from which its exclusion is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
-    /// It is published with the address at which it is known.
+    /// The server is published with the address that this instance uses for it.
     pub listed: bool,
-    /// Connections that this instance may hold to it.
+    /// Number of connections that this instance may open to the server.
     pub share: u32,
-    /// Some source says that its incarnation leaves.
+    /// Some source reports that this incarnation of the server is leaving.
     pub leaving: bool,
-    /// Its availability zone is evacuated.
+    /// The availability zone of the server is evacuated.
     pub evacuated: bool,
-    /// It warms up and may get no more requests for now.
+    /// The server warms up and may get no more requests from this instance for now.
     pub spent: bool,
 }
 
 impl Facts {
-    /// Why the server gets no new work; `None` if it may. Of several reasons the one that lasts longest.
+    /// Returns why the server gets no new work; `None` if it may get work. If there are several
+    /// reasons, the one that lasts longest is returned.
     pub const fn exclusion(self) -> Option<Exclusion> {
         match self {
             Self { listed: false, .. } => Some(Exclusion::Unlisted),
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -1,8 +1,9 @@
-//! Second copies of slow repeatable calls.
+//! Hedging: second calls for portions whose first call is slow. Non-idempotent portions are never
+//! hedged.
 
 use std::time::Duration;
 
-use super::ending::QUERY_EXTRA;
+use super::ending::MAX_EXTRA_CALLS_PER_QUERY;
 use super::event::Action;
 use super::machine::Machine;
 use super::portion::PortionKey;
@@ -12,29 +13,32 @@
 use crate::count;
 use ladder_schema::outcome::Reason;
 
-/// Overdue portions looked at beyond those that the budget pays, when the first ones find no server.
-const SCAN: usize = 8;
-/// Part of a message's target time after which a call counts as slow whatever is learned. Measured on
-/// sweeps over 20 services whose servers stand still 4% of the time: at 20 the extra calls go to calls
-/// that would have ended (0.01 of the worth of a loaded day), 40 is no better than 30.
-const TARGET_PERCENT: u32 = 30;
+/// Number of portions considered for a hedge beyond those that the budget can pay for, when no
+/// server can take the first ones.
+const HEDGE_SCAN_MARGIN: usize = 8;
+/// Share of the target time of a message, in percent, after which a call counts as slow whatever
+/// call times are learned. With sweeps over 20 services whose servers stall 4% of the time, 20
+/// hedges calls that would have ended anyway (a loss of 0.01 of the value of answers under high
+/// load), and 40 is no better than 30.
+const HEDGE_DELAY_TARGET_PERCENT: u32 = 30;
 
-/// Work that servers hold besides a call, over their slots, above which no second copies are sent.
+/// Load of the servers of a service, in other calls per slot, above which no hedges are sent.
 ///
-/// A call is slow then because it waits, and its copy makes others wait. Measured on four days of sweeps
-/// over 20 busy services, two seeds: 0.61 of the worth with copies at any load, 0.62 with this at 0.38 or
-/// 0.85, 0.63 at 0.6; on a fleet that is hardly busy nothing changes at 0.6, and 0.02 is lost without any
-/// copies. Where servers don't report their load copies go out at any load.
-const COPIES_BUSY: f64 = 0.6;
+/// Above this load, a call is slow because it is queued at its server, and its hedge makes other
+/// calls wait. With sweeps over 20 busy services (four scenarios, two seeds), the value of answers
+/// was 0.61 with hedging at any load, 0.62 with a limit of 0.38 or 0.85, and 0.63 with 0.6. On a
+/// lightly loaded fleet, a limit of 0.6 changes nothing, and no hedging at all loses 0.02. Hedges
+/// are sent at any load when the servers do not report their load.
+const MAX_HEDGING_LOAD: f64 = 0.6;
 
 impl Machine {
-    /// Sets the time at which a portion's call counts as slow.
-    pub(super) fn plan_hedge(&mut self, key: PortionKey) {
+    /// Schedules the time at which a portion's call counts as slow and may be hedged.
+    pub(super) fn schedule_hedge(&mut self, key: PortionKey) {
         let portion = &self.portions[key];
         if !self.settings.hedging || portion.unrepeatable || portion.hedged {
             return;
         }
-        let Some(delay) = self.patience(key) else {
+        let Some(delay) = self.hedge_delay(key) else {
             return;
         };
         let at = self.now + delay;
@@ -43,12 +47,13 @@
         }
     }
 
-    /// How long a portion's call may take before it counts as slow.
+    /// Time after which a call of a portion counts as slow; `None` if there is no target time and
+    /// call times are not learned yet.
     ///
-    /// A second copy that goes out when most of the target time has passed comes too late, and
-    /// before call times are learned there would be none at all: with a target, a call counts as
-    /// slow after a part of it at the latest.
-    pub(super) fn patience(&self, key: PortionKey) -> Option<Duration> {
+    /// A hedge sent when most of the target time has passed comes too late, and before call times
+    /// are learned no hedge would be sent at all. With a target time, a call therefore counts as
+    /// slow after [`HEDGE_DELAY_TARGET_PERCENT`] of it at the latest.
+    pub(super) fn hedge_delay(&self, key: PortionKey) -> Option<Duration> {
         let portion = &self.portions[key];
         let learned = self.slow(portion.service, portion.kind);
         let forward = portion.job.work.forward.as_ref();
@@ -56,11 +61,12 @@
         if target == 0 {
             return learned;
         }
-        let most = Duration::from_millis(target.into()) * TARGET_PERCENT / 100;
-        Some(learned.map_or(most, |learned| learned.min(most)))
+        let max_delay = Duration::from_millis(target.into()) * HEDGE_DELAY_TARGET_PERCENT / 100;
+        Some(learned.map_or(max_delay, |learned| learned.min(max_delay)))
     }
 
-    /// A portion's call is slow: it gets a second copy as soon as a slot and a token are free.
+    /// Marks a portion with a slow call for hedging. The hedge is sent as soon as a slot and a
+    /// token of the budget are free.
     pub(super) fn hedge_due(&mut self, key: PortionKey) {
         let Some(portion) = self.portions.get(key) else {
             return;
@@ -71,7 +77,7 @@
         if portion.hedged {
             return;
         }
-        if let Some(at) = self.early_until(key) {
+        if let Some(at) = self.hedge_deferred_until(key) {
             self.timers.push(at, Timer::Hedge(key));
             return;
         }
@@ -81,62 +87,64 @@
         self.mark(id);
     }
 
-    /// Sends second copies, the longest-waiting portion first, while slots and tokens last.
-    pub(super) fn hedge_overdue(&mut self, id: ServiceId, out: &mut Vec<Action>) {
+    /// Sends the hedges that are due, for the call sent longest ago first, while slots and tokens
+    /// of the budget are available.
+    pub(super) fn send_due_hedges(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         let service = &mut self.services[id];
-        if service.overdue.is_empty() || service.busy.value() > COPIES_BUSY {
+        if service.overdue.is_empty() || service.busy.value() > MAX_HEDGING_LOAD {
             return;
         }
-        let most = SCAN + service.budget.at(self.now).calls() as usize;
-        let overdue: Vec<_> = service.overdue.iter().take(most).copied().collect();
+        let limit = HEDGE_SCAN_MARGIN + service.budget.refill(self.now).calls() as usize;
+        let overdue: Vec<_> = service.overdue.iter().take(limit).copied().collect();
         for (sent, key) in overdue {
-            if !self.services[id].budget.affords_copy() || !self.has_room(id) {
+            if !self.services[id].budget.affords_hedge() || !self.has_room(id) {
                 return;
             }
-            if self.stalls(key) {
+            if self.hedge_suppressed(key) {
                 continue;
             }
-            if !self.worth_copying(key) {
+            if !self.is_hedge_useful(key) {
                 self.services[id].overdue.remove(&(sent, key));
                 continue;
             }
-            let Some(server) = self.choose_second(id, key) else {
+            let Some(server) = self.choose_hedge_server(id, key) else {
                 continue;
             };
             self.services[id].overdue.remove(&(sent, key));
             self.services[id].budget.spend();
             self.portions[key].hedged = true;
             Self::count(count::Event::Hedge, Reason::Hedge, out);
-            self.send(key, server, out);
+            self.send_call(key, server, out);
         }
     }
 
-    /// Whether a second copy may still help and the query has not spent its extra calls.
-    fn worth_copying(&self, key: PortionKey) -> bool {
+    /// Whether a hedge can still be answered in time and the query has extra calls left.
+    fn is_hedge_useful(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
         let mean = self.mean(portion.service, portion.kind).unwrap_or_default();
         let in_time = self.now + mean / 2 < portion.deadline && portion.may_go_out();
-        in_time && portion.job.work.extra_calls + portion.calls <= QUERY_EXTRA
+        in_time && portion.job.work.extra_calls + portion.calls <= MAX_EXTRA_CALLS_PER_QUERY
     }
 
-    /// The server for a second copy: one that was not tried, with a free slot and no sign of
-    /// trouble. A copy sent to a server that sheds, leaves, warms up or fails adds to its trouble
-    /// and does not help.
-    fn choose_second(&self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
+    /// Selects the server for a hedge: a server with a free slot and no sign of trouble to which
+    /// the portion has not been sent yet. A hedge to a server that sheds load, leaves, warms up or
+    /// fails would increase its trouble without helping.
+    fn choose_hedge_server(&self, id: ServiceId, key: PortionKey) -> Option<ServerKey> {
         let portion = &self.portions[key];
         let work = &portion.job.work;
-        let fits = |candidate: &ServerKey| {
+        let suitable = |candidate: &ServerKey| {
             let server = &self.servers[*candidate];
-            let calm = self.now >= server.health.shed_until() && !server.health.suspect();
+            let healthy = self.now >= server.health.shed_until() && !server.health.suspect();
             let free = server.in_flight < server.capacity(self.now);
-            calm && free
+            healthy
+                && free
                 && !server.cold(self.now)
                 && !portion.tried.contains(candidate)
-                && self.may_run(key, *candidate)
+                && self.is_eligible_for(key, *candidate)
                 && self.can_send(*candidate)
-                && self.holds(*candidate, work)
+                && self.serves_version(*candidate, work)
         };
         let candidates = self.services[id].servers.iter().copied();
-        candidates.filter(fits).min_by_key(|candidate| self.servers[*candidate].in_flight)
+        candidates.filter(suitable).min_by_key(|candidate| self.servers[*candidate].in_flight)
     }
 }
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -1,4 +1,4 @@
-//! Arrival of work: what is refused at once and what is queued.
+//! Accepts arriving work: refuses a portion at once or queues it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,14 +23,17 @@
 use crate::time::Instant;
 use crate::view::Peer;
 
-/// Longest time kept back so that the reply is at the entry before the entry's deadline.
-const MARGIN: Duration = Duration::from_millis(5);
-/// Work that arrives this soon after a suspension may have waited in a socket buffer throughout.
-const AFTER_GAP: Duration = Duration::from_millis(100);
-/// Call time assumed before one is learned.
-pub(super) const UNLEARNED: Duration = Duration::from_millis(10);
+/// Upper limit of the time taken off the budget, so that the reply reaches the entry instance
+/// before its own deadline.
+const MAX_REPLY_MARGIN: Duration = Duration::from_millis(5);
+/// Work that arrives within this time after a process pause may have waited in a socket buffer
+/// during the whole pause.
+const POST_PAUSE_WINDOW: Duration = Duration::from_millis(100);
+/// Call time assumed until a service has learned one from its calls.
+pub(super) const DEFAULT_CALL_TIME: Duration = Duration::from_millis(10);
 
 impl Machine {
+    /// Handles a message of work from an entry instance: queues or refuses each of its portions.
     pub(super) fn work(
         &mut self,
         from: Peer,
@@ -43,15 +46,16 @@
         let fingerprint = Fingerprint::read(&work.fingerprint);
         let (collection, siblings) = (None, None);
         let mut job = Job { from, incarnation, key, fingerprint, work, collection, siblings };
-        job.collection = self.begin_collection(&job, portions.len());
-        job.siblings = self.begin_siblings(&job, portions.len());
+        job.collection = self.begin_aggregation(&job, portions.len());
+        job.siblings = self.track_siblings(&job, portions.len());
         let job = Arc::new(job);
         for portion in portions {
-            self.arrive(&job, portion, out);
+            self.receive_portion(&job, portion, out);
         }
     }
 
-    fn arrive(&mut self, job: &Arc<Job>, portion: wire::Portion, out: &mut Vec<Action>) {
+    /// Drops a repeated delivery; queues or refuses any other portion.
+    fn receive_portion(&mut self, job: &Arc<Job>, portion: wire::Portion, out: &mut Vec<Action>) {
         let delivery = Delivery {
             from: Arc::clone(&job.from.name),
             incarnation: job.incarnation,
@@ -61,17 +65,18 @@
         };
         if !self.deliveries.insert(self.now, delivery) {
             Self::count(count::Event::Drop, Reason::RepeatedKey, out);
-            self.settle_collected(job, out);
+            self.settle_portion(job, out);
             return;
         }
-        let eligible = eligible(&portion);
+        let eligible = eligible_marks(&portion);
         match self.admit(job, &portion, eligible.as_deref()) {
             Ok((service, deadline)) => self.enqueue(job, portion, eligible, service, deadline),
             Err(refused) => self.refuse(job, portion.service, refused, out),
         }
     }
 
-    /// Decides whether a portion is queued, and until when it must have been replied to.
+    /// Checks whether a portion may be queued. Returns the service and the time by which the
+    /// portion must have a reply.
     fn admit(
         &mut self,
         job: &Job,
@@ -79,7 +84,7 @@
         eligible: Option<&[Mark]>,
     ) -> Result<(ServiceId, Instant), Refused> {
         let id = self.service_ids.get(portion.service.as_str()).copied();
-        let finding = id.and_then(|id| self.finding(job, id));
+        let finding = id.and_then(|id| self.find_record(job, id));
         if finding == Some(Finding::Repeated) {
             return Err(Refused::repeated());
         }
@@ -89,11 +94,14 @@
         if self.draining {
             return Err(Refused::because(Reason::Draining));
         }
-        if job.fingerprint.is_some_and(|one| self.view.quarantine.refused.contains(&one)) {
+        if job
+            .fingerprint
+            .is_some_and(|fingerprint| self.view.quarantine.refused.contains(&fingerprint))
+        {
             return Err(Refused::because(Reason::Quarantined));
         }
         let id = id.filter(|id| self.services[*id].rank != Rank::None);
-        let id = id.ok_or_else(|| Refused::because(self.unknown()))?;
+        let id = id.ok_or_else(|| Refused::because(self.unowned_reason()))?;
         self.services[id].wanted = Some(self.now);
         if job.from.name != self.settings.name {
             self.services[id].asked(self.now);
@@ -101,69 +109,79 @@
         if finding == Some(Finding::Unproven) {
             return Err(Refused::repeated());
         }
-        let deadline = self.deadline_of(job)?;
-        self.outlook(id, &job.work, eligible, deadline)?;
-        self.room(id, job, deadline)?;
-        self.pay_again(id, portion)?;
+        let deadline = self.reply_deadline(job)?;
+        self.check_servers(id, &job.work, eligible, deadline)?;
+        self.check_queue(id, job, deadline)?;
+        self.charge_repeated_portion(id, portion)?;
         Ok((id, deadline))
     }
 
-    /// Pays for a portion that a server may have got already, through a peer that was lost or silent.
+    /// Spends one extra call on a portion that a server may already have received through a peer
+    /// that was lost or did not answer.
     ///
-    /// Where arrivals count and not runs, each such call is an extra one. Taken for first calls they
-    /// earned extra calls in place of costing them: on a day of slow instances a service got 256 extra
-    /// arrivals of 241 that it may have. What a peer refused before any server got it costs nothing:
-    /// else the first requests after a change, which peers do not know yet, spend what the next loss
-    /// of a peer needs.
-    fn pay_again(&mut self, id: ServiceId, portion: &wire::Portion) -> Result<(), Refused> {
+    /// Applies where the limits count every arrival at a server, whether or not it ran. Each such
+    /// call is then an extra call. Counted as first calls, these calls earned extra calls instead
+    /// of costing them: with slow instances, a service got 256 extra arrivals where 241 were
+    /// allowed.
+    ///
+    /// A portion that a peer refused before any server received it costs nothing. Otherwise the
+    /// first requests after a change that the peers do not know yet would spend the extra calls
+    /// needed when the next peer is lost.
+    fn charge_repeated_portion(
+        &mut self,
+        id: ServiceId,
+        portion: &wire::Portion,
+    ) -> Result<(), Refused> {
         let service = &mut self.services[id];
         let counts = portion.repeated && service.limits().count_refused;
-        if counts && !service.budget.at(self.now).spend() {
+        if counts && !service.budget.refill(self.now).spend() {
             return Err(Refused::because(Reason::RetryBudget));
         }
         Ok(())
     }
 
-    /// What the records say of an unrepeatable portion; `None` for a repeatable one.
-    fn finding(&self, job: &Job, id: ServiceId) -> Option<Finding> {
-        if !unrepeatable(&self.services[id], &job.work) {
+    /// Looks up the records of a non-idempotent portion; `None` for an idempotent one.
+    fn find_record(&self, job: &Job, id: ServiceId) -> Option<Finding> {
+        if !is_unrepeatable(&self.services[id], &job.work) {
             return None;
         }
         let name = record::Name { service: id, key: Arc::clone(&job.key) };
         Some(self.records.find(&name, job.work.attempt))
     }
 
-    fn unknown(&self) -> Reason {
+    /// Reason to refuse work for a service of which this instance is no candidate.
+    fn unowned_reason(&self) -> Reason {
         match self.view.ready {
             true => Reason::NotOwner,
             false => Reason::NotReady,
         }
     }
 
-    /// When a portion that arrives now must have been replied to.
+    /// Returns the time by which a portion that arrives now must have a reply.
     ///
-    /// Work that waited in a socket buffer while the process was suspended arrives with the budget
-    /// it was sent with. It would run long after its entry has given it up; the length of the
-    /// suspension is therefore taken off.
-    fn deadline_of(&self, job: &Job) -> Result<Instant, Refused> {
+    /// Work that waited in a socket buffer while the process was paused still carries the budget
+    /// with which it was sent. It would run long after its entry instance has stopped waiting for
+    /// it, so the length of the pause is subtracted from the budget.
+    fn reply_deadline(&self, job: &Job) -> Result<Instant, Refused> {
         let budget = Duration::from_micros(job.work.budget_us);
-        let margin = MARGIN.min(budget / 20);
-        let gap = self.gap.filter(|gap| self.now.since(gap.ended) < AFTER_GAP);
-        let lost = gap.map_or(Duration::ZERO, |gap| gap.length);
+        let margin = MAX_REPLY_MARGIN.min(budget / 20);
+        let pause = self.gap.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
+        let pause_length = pause.map_or(Duration::ZERO, |pause| pause.length);
         if budget.is_zero() {
             return Err(Refused::because(Reason::Expired));
         }
-        if lost >= budget - margin {
+        if pause_length >= budget - margin {
             return Err(Refused::because(Reason::Paused));
         }
-        Ok(self.now + (budget - margin - lost))
+        Ok(self.now + (budget - margin - pause_length))
     }
 
-    /// Whether the queue has room for one more and it can be done in time.
-    fn room(&mut self, id: ServiceId, job: &Job, deadline: Instant) -> Result<(), Refused> {
-        let class = class(&self.services[id], &job.work);
+    /// Checks that the queue has room for one more portion and that the portion can be answered by
+    /// its deadline.
+    fn check_queue(&mut self, id: ServiceId, job: &Job, deadline: Instant) -> Result<(), Refused> {
+        let class = urgency_class(&self.services[id], &job.work);
         let service = &mut self.services[id];
-        service.admission.offered(self.now, class);
+        service.admission.record_arrival(self.now, class);
         let service = &self.services[id];
         let limit = service.limits().queue as usize;
         let length = service.queue.len();
@@ -174,7 +192,7 @@
         if !self.settings.queueing {
             return Ok(());
         }
-        let Some(mean) = self.mean(id, kind(&job.work)) else {
+        let Some(mean) = self.mean(id, work_kind(&job.work)) else {
             return Ok(());
         };
         let wait = self.wait(id, service.queue.ahead(class));
@@ -184,32 +202,33 @@
             return Err(Refused::because(Reason::WouldMissDeadline).come_back(excess));
         }
         let budget = deadline.since(self.now);
-        let wait = wait.max(self.waited(id, class));
-        let number = admission::number(job.incarnation, job.work.query);
+        let wait = wait.max(self.head_wait(id, class));
+        let fraction = admission::query_fraction(job.incarnation, job.work.query);
         let admission = &self.services[id].admission;
-        match admission.admits(class, number, wait, budget) {
+        match admission.admits(class, fraction, wait, budget) {
             true => Ok(()),
             false => Err(Refused::because(Reason::WouldMissDeadline).come_back(wait)),
         }
     }
 
-    /// How long the first waiting portion of a class has waited.
-    fn waited(&self, id: ServiceId, class: Class) -> Duration {
+    /// Time that the first queued portion of an urgency class has waited so far.
+    fn head_wait(&self, id: ServiceId, class: Class) -> Duration {
         let head = self.services[id].queue.head(class);
         head.map_or(Duration::ZERO, |key| self.now.since(self.portions[key].arrived))
     }
 
-    /// How long a portion waits behind `ahead` others.
+    /// Estimated time that a portion waits in the queue behind `ahead` others.
     pub(super) fn wait(&self, id: ServiceId, ahead: usize) -> Duration {
         let service = &self.services[id];
         let slots = self.usable_slots(id).max(1);
-        let mean = service.kinds.all().mean().unwrap_or(UNLEARNED);
+        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
         if ahead == 0 && service.in_flight < slots {
             return Duration::ZERO;
         }
         mean.mul_f64((ahead as f64 + 1.0) / f64::from(slots))
     }
 
+    /// Creates the state of an accepted portion, queues it and sets its timers.
     fn enqueue(
         &mut self,
         job: &Arc<Job>,
@@ -229,10 +248,10 @@
             arrived: self.now,
             deadline,
             place: None,
-            unrepeatable: unrepeatable(service, &job.work),
-            class: class(service, &job.work),
-            kind: kind(&job.work),
-            timely_at: timely(self.now, &job.work),
+            unrepeatable: is_unrepeatable(service, &job.work),
+            class: urgency_class(service, &job.work),
+            kind: work_kind(&job.work),
+            timely_at: latency_objective(self.now, &job.work),
             attempts: Vec::new(),
             tried: Vec::new(),
             trials: Vec::new(),
@@ -245,33 +264,34 @@
         if portion.unrepeatable {
             self.records.start(self.now, portion.record(), job.work.attempt);
         }
-        let fast = self.fast(id, kind(&job.work));
+        let fast_call = self.fast_call_time(id, work_kind(&job.work));
         self.portion_began(job);
         let key = self.portions.insert(portion);
-        self.queue(key);
+        self.push_to_queue(key);
         self.queries.entry(job.query()).or_default().push(key);
         self.timers.push(deadline, Timer::Deadline(key));
-        if self.settings.queueing && !fast.is_zero() {
-            self.timers.push(deadline - fast, Timer::Late(key));
+        if self.settings.queueing && !fast_call.is_zero() {
+            self.timers.push(deadline - fast_call, Timer::Late(key));
         }
     }
 
-    /// Whether a portion is in the queue.
+    /// Whether a portion is in the queue of its service, without an open call.
     pub(super) fn waits(&self, key: PortionKey) -> bool {
         let portion = self.portions.get(key);
         portion.is_some_and(|portion| portion.place.is_some())
     }
 
-    /// A portion that waits now cannot be done any more; its entry may use the time that is left.
+    /// Refuses a portion that is still queued when too little time is left to answer it, so that
+    /// its entry instance can use the remaining time.
     pub(super) fn late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
         if self.waits(key) {
-            let verdict = self.standing(key);
+            let verdict = self.current_verdict(key);
             self.finish(key, Refused::with(verdict, Reason::WouldMissDeadline), out);
         }
     }
 
-    /// Puts a portion without an open call into its service's queue.
-    pub(super) fn queue(&mut self, key: PortionKey) {
+    /// Puts a portion without an open call into the queue of its service.
+    pub(super) fn push_to_queue(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
         let (class, turn) = match portion.timely_at {
             Some(timely_at) if self.now < timely_at => (Class::TIMED, timely_at),
@@ -286,20 +306,22 @@
         self.mark(id);
     }
 
-    /// An entry gives a query up. Queued portions are proved not to run.
+    /// Handles the cancellation of a query by its entry instance. Portions that are still queued
+    /// are reported as not run.
     pub(super) fn cancel(&mut self, from: Arc<str>, cancel: &wire::Cancel, out: &mut Vec<Action>) {
         let query = Query { from, incarnation: cancel.incarnation, number: cancel.query };
         let keys = self.queries.remove(&query).unwrap_or_default();
-        self.drop_collections(&keys);
+        self.drop_aggregations(&keys);
         self.cancelled.insert(self.now, query);
         for key in keys {
-            let verdict = self.standing(key);
+            let verdict = self.current_verdict(key);
             self.finish(key, Refused::with(verdict, Reason::Cancelled), out);
         }
     }
 
-    /// Verdict of a portion if it were given up now.
-    pub(super) fn standing(&self, key: PortionKey) -> Verdict {
+    /// Verdict that a portion would get if it were refused now: whether it may have run at a
+    /// server.
+    pub(super) fn current_verdict(&self, key: PortionKey) -> Verdict {
         let portion = &self.portions[key];
         match portion.attempts.is_empty() {
             true => portion.verdict(),
@@ -307,38 +329,42 @@
         }
     }
 
-    /// The time for a portion is up.
+    /// Refuses a portion whose deadline has passed.
     pub(super) fn deadline(&mut self, key: PortionKey, out: &mut Vec<Action>) {
         if !self.portions.contains_key(key) {
             return;
         }
-        let verdict = self.standing(key);
+        let verdict = self.current_verdict(key);
         self.finish(key, Refused::with(verdict, Reason::Deadline), out);
     }
 }
 
-/// The servers that a portion may run on; `None`: any.
-fn eligible(portion: &wire::Portion) -> Option<Arc<[Mark]>> {
+/// Marks of the servers on which a portion may run; `None` if any server of the service may run it.
+fn eligible_marks(portion: &wire::Portion) -> Option<Arc<[Mark]>> {
     let eligible = portion.eligible.as_ref()?;
     Some(eligible.servers.iter().copied().map(Mark).collect())
 }
 
-fn kind(work: &wire::Work) -> Kind {
+/// Kind of work for which call times are learned: the route of a forwarded message, else the
+/// operation.
+fn work_kind(work: &wire::Work) -> Kind {
     match &work.forward {
         Some(forward) => Kind(forward.kind),
         None => Kind(hash::of(&[work.operation.as_bytes()])),
     }
 }
 
-/// When the answer to work that arrives now must be there to be worth its full price.
-fn timely(now: Instant, work: &wire::Work) -> Option<Instant> {
+/// Time by which the answer to work that arrives now meets its latency objective; `None` if the
+/// work has none.
+fn latency_objective(now: Instant, work: &wire::Work) -> Option<Instant> {
     let collect = work.collect.map(|collect| collect.timely_us);
     let forward = work.forward.as_ref().map(|forward| forward.timely_us);
-    let span = collect.or(forward).filter(|span| *span > 0)?;
-    Some(now + Duration::from_micros(span))
+    let objective = collect.or(forward).filter(|objective| *objective > 0)?;
+    Some(now + Duration::from_micros(objective))
 }
 
-fn unrepeatable(service: &Service, work: &wire::Work) -> bool {
+/// Whether the work is non-idempotent, according to the request or the catalogue entry.
+fn is_unrepeatable(service: &Service, work: &wire::Work) -> bool {
     let listed = service.entry.operations.iter();
     work.unrepeatable
         || listed
@@ -346,8 +372,8 @@
             .any(|operation| operation.unrepeatable)
 }
 
-/// The operation's urgency, else the entry's.
-fn class(service: &Service, work: &wire::Work) -> Class {
+/// Urgency class of the work: that of its route or operation, else that of the catalogue entry.
+fn urgency_class(service: &Service, work: &wire::Work) -> Class {
     use ladder_schema::catalogue::Urgency;
 
     if let Some(forward) = &work.forward {
--- a/crates/core/src/leaf/kinds.rs
+++ b/crates/core/src/leaf/kinds.rs
@@ -1,8 +1,8 @@
-//! Call times by kind of work.
+//! Learned call times by kind of work.
 //!
-//! One service answers sweeps of thirty milliseconds and of ten. With one estimate for both, the
-//! second copy of a short call went out by the long one's times, when its target had passed, and a
-//! queue's length in time was wrong for either.
+//! One service may answer sweeps that take 30 ms and sweeps that take 10 ms. With one estimate for
+//! both, the hedge of a short call was sent by the times of the long ones, after its target time
+//! had passed, and the estimated waiting time in the queue was wrong for either.
 
 use std::time::Duration;
 
@@ -11,94 +11,98 @@
 use super::service::ServiceId;
 use crate::collections::Map;
 
-/// Samples before the learned call times are used.
-const LEARNED: u64 = 50;
-/// Samples between two computations of the quantiles.
-const REFRESH: u64 = 25;
-/// Least and greatest share of calls that are not held slow.
-const SLOW: (f64, f64) = (0.8, 0.99);
-/// Kinds that are told apart; what comes beyond is learned as one.
-const MOST: usize = 16;
+/// Number of samples needed before the learned call times are used.
+const MIN_SAMPLES: u64 = 50;
+/// Number of samples between two computations of the quantiles.
+const QUANTILE_REFRESH_SAMPLES: u64 = 25;
+/// Minimum and maximum share of calls that do not count as slow.
+const SLOW_QUANTILE_RANGE: (f64, f64) = (0.8, 0.99);
+/// Maximum number of kinds of work learned separately; all further kinds are learned as one.
+const MAX_KINDS: usize = 16;
 
-/// A kind of work: an operation or a route.
+/// A kind of work: an operation or a route. The value is its hash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Kind(pub(super) u64);
 
-/// What is learned of one kind.
+/// Learned call times of one kind of work.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Times {
+pub(super) struct CallTimes {
     estimate: Estimate,
-    /// Call time that few calls exceed, `None` until it is learned.
+    /// Call time that few calls exceed; `None` until it is learned.
     slow: Option<Duration>,
-    /// Call time that most calls exceed, `None` until it is learned.
+    /// Call time that most calls exceed; `None` until it is learned.
     fast: Option<Duration>,
 }
 
-impl Times {
-    /// All call times.
+impl CallTimes {
+    /// Histogram of all call times.
     pub(super) const fn estimate(&self) -> &Estimate {
         &self.estimate
     }
 
-    /// Mean call time once it is learned.
+    /// Mean call time; `None` until it is learned.
     pub(super) fn mean(&self) -> Option<Duration> {
-        self.estimate.mean().filter(|_| self.estimate.samples() >= LEARNED)
+        self.estimate.mean().filter(|_| self.estimate.samples() >= MIN_SAMPLES)
     }
 
-    /// The call time after which a second copy is due, once it is learned.
+    /// Call time after which a call counts as slow and may be hedged; `None` until it is learned.
     pub(super) fn slow(&self) -> Option<Duration> {
         self.slow
     }
 
-    /// The call time below which work is not worth starting, once it is learned.
+    /// Call time that most calls exceed: work with less time left is not started. `None` until it
+    /// is learned.
     pub(super) fn fast(&self) -> Option<Duration> {
         self.fast
     }
 
-    /// The share of calls that are slower than `slow` is a little less than the share of extra calls
-    /// that the budget pays, so that the tokens are there when a straggler shows.
+    /// Adds a call time and recomputes the quantiles at intervals.
+    ///
+    /// The share of calls that count as slow is slightly less than the share of extra calls that
+    /// the budget pays for, so that tokens are available when a straggler appears.
     fn learn(&mut self, span: Duration, extra_percent: u32) {
         self.estimate.add(span);
         let samples = self.estimate.samples();
-        if samples >= LEARNED && samples.is_multiple_of(REFRESH) {
+        if samples >= MIN_SAMPLES && samples.is_multiple_of(QUANTILE_REFRESH_SAMPLES) {
             let extra = f64::from(extra_percent) / 100.0;
-            let slow = (1.0 - 0.8 * extra).clamp(SLOW.0, SLOW.1);
-            self.slow = self.estimate.quantile(slow);
+            let slow_quantile =
+                (1.0 - 0.8 * extra).clamp(SLOW_QUANTILE_RANGE.0, SLOW_QUANTILE_RANGE.1);
+            self.slow = self.estimate.quantile(slow_quantile);
             self.fast = self.estimate.quantile(0.25);
         }
     }
 }
 
-/// What is learned of each kind.
+/// Learned call times of all kinds of work.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Kinds {
-    times: Map<Kind, Times>,
-    /// Of all kinds together.
-    all: Times,
+    times: Map<Kind, CallTimes>,
+    /// Call times of all kinds of work together.
+    all: CallTimes,
 }
 
 impl Kinds {
-    /// Takes a call time in.
+    /// Adds a call time of one kind of work.
     pub(super) fn learn(&mut self, kind: Kind, span: Duration, extra_percent: u32) {
         self.all.learn(span, extra_percent);
-        let full = self.times.len() >= MOST && !self.times.contains_key(&kind);
+        let full = self.times.len() >= MAX_KINDS && !self.times.contains_key(&kind);
         let kind = if full { Kind::default() } else { kind };
         self.times.entry(kind).or_default().learn(span, extra_percent);
     }
 
-    /// What is known of all kinds together.
-    pub(super) const fn all(&self) -> &Times {
+    /// Call times of all kinds of work together.
+    pub(super) const fn all(&self) -> &CallTimes {
         &self.all
     }
 
-    /// What is known of a kind.
-    pub(super) fn get(&self, kind: Kind) -> Option<&Times> {
+    /// Call times of one kind of work; `None` if the kind is unknown.
+    pub(super) fn get(&self, kind: Kind) -> Option<&CallTimes> {
         self.times.get(&kind)
     }
 }
 
 impl Machine {
-    /// Takes a call time of a service in.
+    /// Adds a call time of a service.
     pub(super) fn learn_time(&mut self, id: ServiceId, kind: Kind, span: Duration) {
         let service = &mut self.services[id];
         service.learn(kind, span);
@@ -106,30 +110,33 @@
         self.kinds.learn(kind, span, extra);
     }
 
-    /// Mean call time of a kind of work, once it is learned: at the service, else at all services, else
-    /// of all work at the service.
+    /// Mean call time of a kind of work; `None` until it is learned. Taken from the service, else
+    /// from all services, else from all work of the service.
     pub(super) fn mean(&self, id: ServiceId, kind: Kind) -> Option<Duration> {
-        self.known(id, kind, Times::mean)
+        self.lookup(id, kind, CallTimes::mean)
     }
 
-    /// The call time after which a second copy is due, once it is learned.
+    /// Call time after which a call counts as slow and may be hedged; `None` until it is learned.
     pub(super) fn slow(&self, id: ServiceId, kind: Kind) -> Option<Duration> {
-        self.known(id, kind, Times::slow)
+        self.lookup(id, kind, CallTimes::slow)
     }
 
-    /// The call time below which work is not worth starting; zero until it is learned.
-    pub(super) fn fast(&self, id: ServiceId, kind: Kind) -> Duration {
-        self.known(id, kind, Times::fast).unwrap_or_default()
+    /// Call time that most calls exceed: work with less time left is not started. Zero until it is
+    /// learned.
+    pub(super) fn fast_call_time(&self, id: ServiceId, kind: Kind) -> Duration {
+        self.lookup(id, kind, CallTimes::fast).unwrap_or_default()
     }
 
-    fn known(
+    /// Looks up a statistic of a kind of work: at the service, else at all services, else of all
+    /// work of the service.
+    fn lookup(
         &self,
         id: ServiceId,
         kind: Kind,
-        what: impl Fn(&Times) -> Option<Duration>,
+        statistic: impl Fn(&CallTimes) -> Option<Duration>,
     ) -> Option<Duration> {
-        let here = self.services[id].kinds.get(kind).and_then(&what);
-        let elsewhere = || self.kinds.get(kind).and_then(&what);
-        here.or_else(elsewhere).or_else(|| what(self.services[id].kinds.all()))
+        let at_service = self.services[id].kinds.get(kind).and_then(&statistic);
+        let at_all_services = || self.kinds.get(kind).and_then(&statistic);
+        at_service.or_else(at_all_services).or_else(|| statistic(self.services[id].kinds.all()))
     }
 }
--- a/crates/core/src/leaf/outlook.rs
+++ b/crates/core/src/leaf/outlook.rs
@@ -1,10 +1,10 @@
-//! What a service's servers can be expected to take, as far as is known before anything is sent.
+//! Checks, before anything is sent, whether the servers of a service can be expected to take work.
 
 use ladder_schema::outcome::Reason;
 use ladder_schema::settings::Selection;
 use ladder_schema::wire;
 
-use super::dispatch::UNREACHABLE;
+use super::dispatch::UNREACHABLE_OPEN_FAILURES;
 use super::exclusion::Exclusion;
 use super::machine::Machine;
 use super::reply::Refused;
@@ -14,7 +14,8 @@
 use crate::time::Instant;
 
 impl Machine {
-    /// Marks of a service's servers that are poor; none if all are.
+    /// Marks of the servers of a service that fail, shed load or respond slowly; empty if all of
+    /// its servers do.
     pub(super) fn avoided(&self, id: ServiceId) -> Vec<u32> {
         let servers = self.services[id].servers.iter().map(|key| &self.servers[*key]);
         let accepting = servers.filter(|server| server.accepts());
@@ -25,7 +26,8 @@
         accepting.filter(is_poor).map(|server| server.mark.0).collect()
     }
 
-    /// Slots of the servers that may get work.
+    /// Total number of slots of the servers that accept new work, within the in-flight limit of the
+    /// service.
     pub(super) fn usable_slots(&self, id: ServiceId) -> u32 {
         let service = &self.services[id];
         let servers = service.servers.iter().map(|key| &self.servers[*key]);
@@ -37,9 +39,9 @@
         }
     }
 
-    /// Whether any of the servers that such work may run on can be expected to take it before the
-    /// deadline.
-    pub(super) fn outlook(
+    /// Checks that at least one of the eligible servers can be expected to take the work before the
+    /// deadline; otherwise returns the reason of the refusal.
+    pub(super) fn check_servers(
         &self,
         id: ServiceId,
         work: &wire::Work,
@@ -51,36 +53,36 @@
             .filter(|key| self.servers[*key].accepts() && self.is_eligible(eligible, *key))
             .collect();
         if accepting.is_empty() {
-            return Err(Refused::because(self.excluded_for(id)));
+            return Err(Refused::because(self.exclusion_reason(id)));
         }
-        let holders: Vec<ServerKey> =
-            accepting.into_iter().filter(|key| self.holds(*key, work)).collect();
-        if holders.is_empty() {
+        let serving: Vec<ServerKey> =
+            accepting.into_iter().filter(|key| self.serves_version(*key, work)).collect();
+        if serving.is_empty() {
             return Err(Refused::because(Reason::VersionRetired));
         }
         let unreachable = |key: &ServerKey| {
             let server = &self.servers[*key];
-            server.in_flight == 0 && server.open_failures >= UNREACHABLE
+            server.in_flight == 0 && server.open_failures >= UNREACHABLE_OPEN_FAILURES
         };
-        if holders.iter().all(unreachable) {
+        if serving.iter().all(unreachable) {
             return Err(Refused::because(Reason::ConnectFailed));
         }
-        let first = |until: fn(&Self, ServerKey) -> Instant| {
-            let first = holders.iter().map(|key| until(self, *key)).min();
+        let earliest = |until: fn(&Self, ServerKey) -> Instant| {
+            let first = serving.iter().map(|key| until(self, *key)).min();
             first.filter(|until| *until >= deadline).map(|until| until.since(self.now))
         };
-        let shed = first(|machine, key| machine.servers[key].health.shed_until());
-        if let Some(wait) = shed.filter(|_| self.selects_by_outcome()) {
+        let shed_wait = earliest(|machine, key| machine.servers[key].health.shed_until());
+        if let Some(wait) = shed_wait.filter(|_| self.selects_by_outcome()) {
             return Err(Refused::because(Reason::TargetShed).come_back(wait));
         }
-        match first(Self::warm_at) {
+        match earliest(Self::next_warmup_request_at) {
             Some(wait) => Err(Refused::because(Reason::WarmingUp).come_back(wait)),
             None => Ok(()),
         }
     }
 
-    /// Why none of a service's servers may get work.
-    fn excluded_for(&self, id: ServiceId) -> Reason {
+    /// Reason to refuse work when none of the servers of a service accepts work.
+    fn exclusion_reason(&self, id: ServiceId) -> Reason {
         let servers = self.services[id].servers.iter().map(|key| &self.servers[*key]);
         let mut exclusions = servers.filter_map(|server| server.exclusion(false));
         match exclusions.any(|exclusion| exclusion == Exclusion::Evacuated) {
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Whether servers are selected by the outcomes of their calls instead of round-robin.
     fn selects_by_outcome(&self) -> bool {
         self.settings.selection != Selection::RoundRobin
     }
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -1,4 +1,4 @@
-//! Changes of what the machine is told: views, load reports, suspensions.
+//! Applies new views, load reports of servers and process pauses to the state of the machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,27 +17,27 @@
 use crate::view::{self, View};
 
 impl Machine {
-    /// Takes a new view in.
+    /// Applies a new view.
     pub(super) fn refresh(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let others = view.neighbours.iter().map(|neighbour| &neighbour.peer.name);
-        if self.fleet.see(self.now, others.chain([&self.settings.name])) {
-            self.plan_warmups();
+        if self.fleet.observe(self.now, others.chain([&self.settings.name])) {
+            self.update_warmup_quotas();
         }
         for (key, listed) in &view.services {
-            // Views share the services that did not change.
+            // Consecutive views share the services that did not change.
             let same = |old: &Arc<view::Service>| Arc::ptr_eq(old, listed);
             if before.services.get(key).is_some_and(same) {
                 continue;
             }
             if listed.is_candidate() || self.service_ids.contains_key(&listed.name) {
-                self.list(listed, out);
+                self.apply_service(listed, out);
             }
         }
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
             if view.service(&self.services[id].name).is_none() {
-                self.withdraw(id);
+                self.exclude_servers(id);
             }
             if self.services[id].rank == Rank::None {
                 self.refuse_queued(id, out);
@@ -46,11 +46,11 @@
             self.maintain(id, out);
             self.mark(id);
         }
-        self.take_quarantine(&before.quarantine, out);
+        self.apply_quarantine(&before.quarantine, out);
     }
 
-    /// Takes one service of a view in.
-    fn list(&mut self, listed: &view::Service, out: &mut Vec<Action>) {
+    /// Applies one service of a new view.
+    fn apply_service(&mut self, listed: &view::Service, out: &mut Vec<Action>) {
         let id = match self.service_ids.get(&listed.name) {
             Some(id) => *id,
             None => self.insert_service(listed),
@@ -62,14 +62,15 @@
             self.servers[key].listed = false;
         }
         for server in &listed.servers {
-            self.list_server(id, server, out);
+            self.apply_server(id, server, out);
         }
         let rank = self.services[id].rank;
         if rank == Rank::None {
-            self.withdraw(id);
+            self.exclude_servers(id);
         }
     }
 
+    /// Adds a service that is new to this instance and schedules its periodic upkeep.
     fn insert_service(&mut self, listed: &view::Service) -> ServiceId {
         let id = self.services.insert(Service::new(listed, &self.settings.name, self.now));
         self.service_ids.insert(Arc::clone(&listed.name), id);
@@ -78,21 +79,21 @@
         id
     }
 
-    /// Takes a server of a view in. One with another address is another server.
-    fn list_server(&mut self, id: ServiceId, listed: &view::Server, out: &mut Vec<Action>) {
+    /// Applies one server of a new view. A server with another address counts as another server.
+    fn apply_server(&mut self, id: ServiceId, listed: &view::Server, out: &mut Vec<Action>) {
         let known = self.server_keys.get(&listed.name).copied();
         let same = known.filter(|key| {
             let server = &self.servers[*key];
             server.service == id && server.address == listed.address
         });
         if let Some(key) = same {
-            let before = self.servers[key].incarnation;
+            let known_incarnation = self.servers[key].incarnation;
             let warmup = self.services[id].warmup();
             self.servers[key].list(self.now, listed, warmup);
-            self.plan_warmup(key);
-            if before < listed.incarnation {
-                self.cut_off(key, out);
-                self.server_ended(key, before, out);
+            self.update_warmup_quota(key);
+            if known_incarnation < listed.incarnation {
+                self.close_stale_connections(key, out);
+                self.server_terminated(key, known_incarnation, out);
             }
             return;
         }
@@ -103,28 +104,30 @@
         let key = self.servers.insert(Server::new(self.now, id, listed, warmup));
         self.server_keys.insert(Arc::clone(&listed.name), key);
         self.services[id].servers.push(key);
-        self.plan_warmup(key);
+        self.update_warmup_quota(key);
     }
 
-    /// A server has started again: its connections lead to a process that is gone.
+    /// Closes all connections to a server that has started again, because they lead to a process
+    /// that no longer exists.
     ///
-    /// Where the old process lost its power, nothing on them would ever say so: calls would wait there
-    /// to their deadline and keep the new process's slots from being used. What they carried may have
+    /// If the old process lost its power, no connection would ever be reset: calls would wait until
+    /// their deadline and occupy the slots of the new process. Calls on these connections may have
     /// run.
-    fn cut_off(&mut self, key: ServerKey, out: &mut Vec<Action>) {
+    fn close_stale_connections(&mut self, key: ServerKey, out: &mut Vec<Action>) {
         for lane in std::mem::take(&mut self.servers[key].lanes) {
             let Some(old) = self.lanes.remove(lane) else {
                 continue;
             };
             out.push(Action::Close(lane));
             if let lane::State::Busy(attempt) = old.state {
-                self.lost(attempt, out);
+                self.end_as_lost(attempt, out);
             }
         }
     }
 
-    /// The service is in the view no more, or this instance is no candidate any more.
-    fn withdraw(&mut self, id: ServiceId) {
+    /// Excludes all servers of a service from new work, because the view no longer lists the
+    /// service or this instance is no longer a candidate.
+    fn exclude_servers(&mut self, id: ServiceId) {
         let service = &mut self.services[id];
         service.rank = Rank::None;
         let servers = service.servers.clone();
@@ -133,26 +136,27 @@
         }
     }
 
-    /// The entries send what is queued to the new owner.
+    /// Refuses the queued portions of a service so that their entry instances send them to the new
+    /// owner.
     fn refuse_queued(&mut self, id: ServiceId, out: &mut Vec<Action>) {
-        let waiting: Vec<PortionKey> = self.services[id].queue.order().collect();
-        for key in waiting {
-            let refused = Refused::with(self.standing(key), Reason::NotOwner);
+        let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
+        for key in queued {
+            let refused = Refused::with(self.current_verdict(key), Reason::NotOwner);
             self.finish(key, refused, out);
         }
     }
 
-    /// Drops servers that are unlisted and have no call, and the service when it has neither
-    /// rank nor servers nor portions. `true` when the service is gone.
+    /// Removes the unlisted servers without calls and connections, and the service itself when it
+    /// has no rank, servers, calls or queued portions. Returns `true` when the service was removed.
     pub(super) fn forget(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
             !server.listed && server.in_flight == 0 && server.lanes.is_empty()
         };
         let keys = self.services[id].servers.iter().copied();
-        let gone: Vec<ServerKey> = keys.filter(unused).collect();
-        for key in gone {
-            self.forget_server(id, key);
+        let unused_servers: Vec<ServerKey> = keys.filter(unused).collect();
+        for key in unused_servers {
+            self.remove_server(id, key);
         }
         let service = &self.services[id];
         let used = service.rank != Rank::None || service.in_flight > 0;
@@ -166,7 +170,7 @@
         true
     }
 
-    fn forget_server(&mut self, id: ServiceId, key: ServerKey) {
+    fn remove_server(&mut self, id: ServiceId, key: ServerKey) {
         self.services[id].servers.retain(|other| *other != key);
         let Some(server) = self.servers.remove(key) else {
             return;
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Takes a server's load report in.
+    /// Applies a load report of a server; a missing report changes nothing.
     pub(super) fn load(
         &mut self,
         name: &Arc<str>,
@@ -190,11 +194,11 @@
             return;
         };
         let server = &mut self.servers[key];
-        let before = server.incarnation;
+        let known_incarnation = server.incarnation;
         server.report(self.now, load);
         let id = server.service;
-        if before < server.incarnation {
-            self.server_ended(key, before, out);
+        if known_incarnation < server.incarnation {
+            self.server_terminated(key, known_incarnation, out);
         }
         if self.servers[key].leaving() {
             self.maintain_server(key, out);
@@ -203,17 +207,17 @@
         self.mark(id);
     }
 
-    /// The process was suspended.
+    /// Handles the end of a process pause.
     ///
-    /// Portions that waited through the suspension are late, and the view is as old as the
-    /// suspension: another instance may own the services since. Nothing unrepeatable is sent on
-    /// such knowledge, and nothing whose time is up.
+    /// Portions that were queued during the pause are late, and the view is as old as the pause:
+    /// another instance may have become the owner of the services since then. Non-idempotent
+    /// portions and portions past their deadline are therefore refused.
     pub(super) fn resumed(&mut self, length: Duration, out: &mut Vec<Action>) {
         self.gap = Some(Gap { ended: self.now, length });
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
-            let waiting: Vec<PortionKey> = self.services[id].queue.order().collect();
-            for key in waiting {
+            let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
+            for key in queued {
                 let portion = &self.portions[key];
                 if portion.unrepeatable || portion.deadline <= self.now {
                     let refused = Refused::with(portion.verdict(), Reason::Paused);
--- a/crates/core/src/leaf/siblings.rs
+++ b/crates/core/src/leaf/siblings.rs
@@ -1,8 +1,9 @@
-//! How far the parts of one sweep have come that were asked for together.
+//! Compares the progress of the portions of one sweep that arrived together.
 //!
-//! The work of a request is much the same at every shard and differs between requests. By what calls of
-//! its kind usually take, all parts of a heavy request are slow at once: each would get a second copy,
-//! and none of them helps. So a part is slow when it lags behind the others.
+//! The work of a request is similar at every shard and differs between requests. Judged by the
+//! usual call times of its kind, all portions of a heavy request are slow at once; each would be
+//! hedged, and no hedge would help. A portion therefore counts as slow when it lags behind the
+//! other portions of its sweep.
 
 use std::time::Duration;
 
@@ -14,57 +15,59 @@
 use crate::time::Instant;
 
 new_key_type! {
-    /// Parts that were asked for together.
+    /// Key of a group of portions of one sweep that arrived together.
     pub(super) struct SiblingsKey;
 }
 
-/// Parts from which on they are compared with each other.
-const LEAST: usize = 4;
-/// How much longer than the typical one a call takes before it is slow: a half, and this at least.
-const LEAST_LAG: Duration = Duration::from_millis(1);
-/// While most have not answered there is nothing to compare with. Copies go out all the same when that
-/// many times the patience with a single call has passed.
-const ALONE: u32 = 2;
+/// Minimum number of portions of a sweep that are compared with each other.
+const MIN_COMPARED_PORTIONS: usize = 4;
+/// Minimum lag behind the median call time after which a call counts as slow; the lag is half of
+/// the median if that is longer.
+const MIN_LAG: Duration = Duration::from_millis(1);
+/// Factor on the hedge delay of a single call while fewer than half of the portions are answered,
+/// so that there is no median to compare with.
+const NO_MEDIAN_DELAY_FACTOR: u32 = 2;
 
-/// The parts of one message of work.
+/// Progress of the portions of one message of work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Siblings {
-    parts: usize,
-    /// Parts without a reply.
+    total: usize,
+    /// Number of portions without a reply.
     ///
-    /// Invariant: removed when it gets to zero.
+    /// Invariant: the group is removed when this number becomes zero.
     open: usize,
     answered: usize,
-    /// What the call took whose answer made it half of the parts.
-    typical: Option<Duration>,
+    /// Median call time: the time of the call whose answer completed half of the portions.
+    median: Option<Duration>,
 }
 
 impl Siblings {
-    /// Takes in that a part was answered; whether it is known from now on what is typical.
-    fn answered(&mut self, took: Duration) -> bool {
+    /// Records that a portion was answered. Returns whether the median call time is known from this
+    /// answer on.
+    fn record_answer(&mut self, took: Duration) -> bool {
         self.answered += 1;
-        let now_half = self.typical.is_none() && self.answered * 2 >= self.parts;
-        if now_half {
-            self.typical = Some(took);
+        let reaches_half = self.median.is_none() && self.answered * 2 >= self.total;
+        if reaches_half {
+            self.median = Some(took);
         }
-        now_half
+        reaches_half
     }
 
-    /// After how long a call lags behind.
-    fn lag(&self) -> Option<Duration> {
-        self.typical.map(|typical| typical + (typical / 2).max(LEAST_LAG))
+    /// Time after which a call lags behind the others; `None` until the median call time is known.
+    fn lag_threshold(&self) -> Option<Duration> {
+        self.median.map(|median| median + (median / 2).max(MIN_LAG))
     }
 }
 
 impl Machine {
-    /// Begins to compare the parts of a sweep, if there are enough.
-    pub(super) fn begin_siblings(&mut self, job: &Job, portions: usize) -> Option<SiblingsKey> {
+    /// Starts to compare the portions of a sweep, if there are enough of them.
+    pub(super) fn track_siblings(&mut self, job: &Job, portions: usize) -> Option<SiblingsKey> {
         let is_sweep = job.work.forward.as_ref().is_some_and(|forward| forward.part);
-        let siblings = Siblings { parts: portions, open: portions, answered: 0, typical: None };
-        (is_sweep && portions >= LEAST).then(|| self.siblings.insert(siblings))
+        let siblings = Siblings { total: portions, open: portions, answered: 0, median: None };
+        (is_sweep && portions >= MIN_COMPARED_PORTIONS).then(|| self.siblings.insert(siblings))
     }
 
-    /// One part less is open.
+    /// Removes a portion that got its reply from the open portions of its group.
     pub(super) fn settle_sibling(&mut self, job: &Job) {
         let Some(key) = job.siblings else {
             return;
@@ -78,18 +81,18 @@
         }
     }
 
-    /// A part was answered by a call that took this long. When that tells what is typical, the rest is
-    /// looked at when it lags behind.
+    /// Records that a portion was answered by a call that took this long. If this determines the
+    /// median call time, schedules the hedges of the other portions.
     pub(super) fn sibling_answered(&mut self, job: &Job, took: Duration) {
-        let known = job.siblings.and_then(|key| self.siblings.get_mut(key));
-        let Some(siblings) = known else {
+        let siblings = job.siblings.and_then(|key| self.siblings.get_mut(key));
+        let Some(siblings) = siblings else {
             return;
         };
-        if !siblings.answered(took) {
+        if !siblings.record_answer(took) {
             return;
         }
-        let rest = self.queries.get(&job.query()).cloned().unwrap_or_default();
-        for key in rest {
+        let open_portions = self.queries.get(&job.query()).cloned().unwrap_or_default();
+        for key in open_portions {
             let portion = &self.portions[key];
             let due = self.lags_at(portion).filter(|_| portion.job.siblings == job.siblings);
             if let Some(at) = due {
@@ -98,29 +101,31 @@
         }
     }
 
-    /// Until when a part's only call is not slow, if the other parts say so.
+    /// Returns the time until which the only call of a portion does not count as slow, judged by
+    /// the other portions of its sweep; `None` if the call is slow now.
     ///
-    /// While no part is answered the request itself may be what holds its servers up or ends them: a copy
-    /// would do the same to the other replicas.
-    pub(super) fn early_until(&self, key: PortionKey) -> Option<Instant> {
+    /// While no portion is answered, the request itself may be what stalls or crashes its servers,
+    /// and a hedge would do the same to the other replicas.
+    pub(super) fn hedge_deferred_until(&self, key: PortionKey) -> Option<Instant> {
         let portion = &self.portions[key];
         let siblings = self.siblings.get(portion.job.siblings?)?;
         if siblings.answered == 0 {
-            return Some(self.now + self.patience(key)?);
+            return Some(self.now + self.hedge_delay(key)?);
         }
-        let at = match siblings.lag() {
+        let at = match siblings.lag_threshold() {
             Some(_) => self.lags_at(portion)?,
-            None => self.sent_at(portion)? + self.patience(key)? * ALONE,
+            None => self.sent_at(portion)? + self.hedge_delay(key)? * NO_MEDIAN_DELAY_FACTOR,
         };
         (self.now < at).then_some(at)
     }
 
-    /// When a part's only call lags behind the others.
+    /// Time at which the only open call of a portion lags behind the others.
     fn lags_at(&self, portion: &Portion) -> Option<Instant> {
-        let lag = self.siblings.get(portion.job.siblings?)?.lag()?;
+        let lag = self.siblings.get(portion.job.siblings?)?.lag_threshold()?;
         Some(self.sent_at(portion)? + lag)
     }
 
+    /// Send time of the only open call of a portion; `None` if it has no call or several.
     fn sent_at(&self, portion: &Portion) -> Option<Instant> {
         let [attempt] = portion.attempts[..] else {
             return None;
--- a/crates/core/src/leaf/verdict.rs
+++ b/crates/core/src/leaf/verdict.rs
@@ -1,12 +1,12 @@
-//! The one place that decides whether a call may have run at the target.
+//! Decides whether a call may have run at its target server. No other module makes this decision.
 
 use ladder_schema::outcome::{Reason, Verdict};
 
 use super::event::Outcome;
 
-/// Whether a call that ended like this may have run.
+/// Returns whether a call with this outcome may have run at its server.
 ///
-/// Every retry and every reply asks this function and nothing else.
+/// Every retry and every reply relies on this function alone.
 pub(super) fn of(outcome: &Outcome) -> Verdict {
     match outcome {
         Outcome::Answer(_) => Verdict::Ran,
@@ -15,7 +15,8 @@
     }
 }
 
-/// Why a call that ended like this gave no answer; `timed_out` when it used up its timeout.
+/// Returns why a call with this outcome gave no answer. `timed_out` says that the call used up its
+/// timeout.
 pub(super) fn reason(outcome: &Outcome, timed_out: bool) -> Reason {
     match outcome {
         Outcome::Answer(_) => Reason::Unspecified,
@@ -27,11 +28,13 @@
     }
 }
 
-/// Reads a target's reason; one that the schema does not allow here counts as shedding.
+/// Maps the reason of a refusal by a server. A reason that the schema does not allow in a refusal
+/// counts as load shedding.
 ///
-/// Nobody cancelled what is still waited for: a target that says so gave it up because of the
-/// timeout it was told. Passed on as it is, the reason would tell the caller of a cancellation, and
-/// the record of its key of a withdrawal by the entry.
+/// No one cancelled a call whose answer is still awaited: a server that refuses it as cancelled
+/// dropped it because of the timeout in the request. If the reason were passed on unchanged, the
+/// caller would be told of a cancellation, and the record of the request key would state a
+/// withdrawal by the entry instance.
 fn refusal_reason(reason: Reason) -> Reason {
     match reason {
         Reason::TargetLeaving | Reason::VersionRetired => reason,
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -1,9 +1,10 @@
-//! How many requests a server gets while it warms up.
+//! Limits the requests that a server gets while it warms up.
 //!
-//! Servers that have just started, or whose availability zone was evacuated, bear few requests a second
-//! until they are warm, over the whole fleet. No instance sees what the others send, so each has a part
-//! that follows from the instances that it knows: together the parts stay within half of the bound, and
-//! the other half covers instances that know others than these.
+//! Servers that have just started, or whose availability zone was evacuated, can take only a few
+//! requests per second from the whole fleet until they are warm. No instance sees what the others
+//! send. Each instance therefore computes its own quota from the instances that it knows. The
+//! quotas together stay within half of the limit; the other half allows for instances whose lists
+//! of known instances differ.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,74 +18,80 @@
 use crate::control::hash;
 use crate::time::Instant;
 
-/// Window of the bound; a little longer than the second that is meant, as requests may be on their way
-/// for different times.
-pub const WINDOW: Duration = Duration::from_millis(1050);
-/// Instances that may ask for all at the same time, as the fleet changes.
-const ASKERS: u32 = 4;
-/// How long after its start an instance does not know how many others there are.
-const SETTLING: Duration = Duration::from_secs(3);
-/// How long a larger fleet is remembered: the rest of it may be behind a partition.
-const MEMORY: Duration = Duration::from_secs(600);
-
-/// What a server bears while it warms up.
+/// Window in which requests are counted. It is slightly longer than the one second of the limit,
+/// because requests take different times to reach the server.
+pub const RATE_WINDOW: Duration = Duration::from_millis(1050);
+/// Maximum number of instances that may send for the whole fleet at the same time while the fleet
+/// changes.
+const MAX_FLEET_SENDERS: u32 = 4;
+/// Time after its start during which an instance does not know yet how many other instances there
+/// are.
+const FLEET_DISCOVERY_TIME: Duration = Duration::from_secs(3);
+/// Time for which a larger list of instances is kept after the known fleet has shrunk, because the
+/// missing instances may be behind a network partition.
+const FLEET_MEMORY: Duration = Duration::from_secs(600);
+
+/// Limit of the requests that a server may get from the whole fleet while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bound {
-    /// Requests a second that it is meant to get.
+pub struct WarmupLimit {
+    /// Requests per second that the server should get.
     pub rate: u32,
-    /// Requests that it may get in any one second at most.
-    pub most: u32,
+    /// Maximum number of requests that the server may get in any one second.
+    pub max: u32,
 }
 
-impl Bound {
-    /// Of a service; `None` if its servers bear any number.
+impl WarmupLimit {
+    /// Returns the warm-up limit of a service; `None` if its servers need none.
     pub fn of(limits: &Limits) -> Option<Self> {
-        let bound = Self { rate: limits.warmup_rate, most: limits.warmup_most };
-        (bound.rate > 0 && bound.most > 0).then_some(bound)
+        let limit = Self { rate: limits.warmup_rate, max: limits.warmup_most };
+        (limit.rate > 0 && limit.max > 0).then_some(limit)
     }
 
-    /// The part of an instance where every instance asks the server itself.
+    /// Quota of the instance `own` when every instance sends to the server itself.
     ///
-    /// Invariant: over all instances of one list the parts sum to no more than half of `most`.
-    pub fn part<'a>(self, server: &str, own: &str, fleet: impl Iterator<Item = &'a str>) -> u32 {
+    /// Invariant: for all instances with the same list, the quotas sum to no more than half of
+    /// `max`.
+    pub fn quota<'a>(self, server: &str, own: &str, fleet: impl Iterator<Item = &'a str>) -> u32 {
         let score = |name: &str| hash::of(&[server.as_bytes(), name.as_bytes()]);
         let own = score(own);
-        let (mut count, mut before) = (0, 0);
+        let (mut count, mut rank) = (0, 0);
         for name in fleet {
             count += 1;
-            before += u32::from(score(name) < own);
+            rank += u32::from(score(name) < own);
         }
-        let shared = self.rate.min(self.most / 2);
+        let divisible = self.rate.min(self.max / 2);
         let count = count.max(1);
-        shared / count + u32::from(before < shared % count)
+        divisible / count + u32::from(rank < divisible % count)
     }
 
-    /// The part of an instance that asks the server for all others.
-    pub const fn asker_part(self) -> u32 {
-        self.most / ASKERS
+    /// Quota of an instance that sends to the server for all other instances.
+    pub const fn fleet_sender_quota(self) -> u32 {
+        self.max / MAX_FLEET_SENDERS
     }
 }
 
-/// The instances among which a bound is divided.
+/// The instances among which a warm-up limit is divided.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fleet {
-    /// The largest list of late, this instance among it.
+    /// Names in the largest list of instances known recently, including this instance.
     names: Vec<Arc<str>>,
-    /// When it was last seen.
+    /// Time at which this list of instances was last current.
     seen: Instant,
+    /// Time at which the first list of instances arrived.
     started: Option<Instant>,
 }
 
 impl Fleet {
-    /// Records which instances there are; whether others count from now on.
-    pub(super) fn see<'a>(
+    /// Records the instances known now. Returns whether the list among which limits are divided has
+    /// changed.
+    pub(super) fn observe<'a>(
         &mut self,
         now: Instant,
         names: impl Iterator<Item = &'a Arc<str>>,
     ) -> bool {
         self.started.get_or_insert(now);
         let names: Vec<Arc<str>> = names.cloned().collect();
-        if names.len() < self.names.len() && now.since(self.seen) < MEMORY {
+        if names.len() < self.names.len() && now.since(self.seen) < FLEET_MEMORY {
             return false;
         }
         self.seen = now;
@@ -93,9 +100,9 @@
         differs
     }
 
-    /// The others are known, as far as they can be.
-    pub(super) fn is_settled(&self, now: Instant) -> bool {
-        self.started.is_some_and(|at| now.since(at) >= SETTLING)
+    /// Whether this instance has run long enough to know the other instances.
+    pub(super) fn knows_fleet(&self, now: Instant) -> bool {
+        self.started.is_some_and(|at| now.since(at) >= FLEET_DISCOVERY_TIME)
     }
 
     fn names(&self) -> impl Iterator<Item = &str> {
@@ -103,22 +110,27 @@
     }
 }
 
-/// What one instance knows of one server's warm-up, and what it sent meanwhile.
+/// Warm-up state of one server at this instance, and the requests that this instance sent
+/// meanwhile.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Warmup {
-    /// What was last published of the time left.
+    /// Remaining warm-up time as last published.
     published: Duration,
+    /// Time at which the warm-up ends.
     until: Instant,
-    /// Requests that this instance may send in each window while every instance asks for itself.
+    /// Requests that this instance may send in each window while every instance sends to the server
+    /// itself.
     ///
-    /// Invariant: of the fleet that counts now, while the server warms up.
-    part: u32,
-    /// When requests were sent within the last window while it warmed up, oldest first.
+    /// Invariant: while the server warms up, the quota is computed from the current list of
+    /// instances.
+    quota: u32,
+    /// Send times of the requests within the last window of the warm-up, oldest first.
     sent: VecDeque<Instant>,
 }
 
 impl Warmup {
-    /// Records the time left as published; only a change says something new.
+    /// Records the published remaining warm-up time. The end of the warm-up moves only when the
+    /// published value changes.
     pub(super) fn publish(&mut self, now: Instant, left: Duration) {
         if left != self.published {
             self.published = left;
@@ -126,7 +138,7 @@
         }
     }
 
-    /// Starts a warm-up anew: the server may have become cold while nothing was sent to it.
+    /// Restarts the warm-up: the server may have become cold while it got no requests.
     pub(super) fn restart(&mut self, now: Instant, span: Duration) {
         self.until = self.until.max(now + span);
     }
@@ -135,73 +147,77 @@
         now >= self.until
     }
 
-    /// A request is sent.
-    pub(super) fn send(&mut self, now: Instant) {
-        while self.sent.front().is_some_and(|at| now.since(*at) >= WINDOW) {
+    /// Records that a request is sent now.
+    pub(super) fn record_request(&mut self, now: Instant) {
+        while self.sent.front().is_some_and(|at| now.since(*at) >= RATE_WINDOW) {
             self.sent.pop_front();
         }
         self.sent.push_back(now);
     }
 
-    /// From when on one more request may be sent, of so many in each window.
-    pub(super) fn next(&self, part: u32) -> Instant {
-        let part = part as usize;
-        let kept = self.sent.len();
-        match kept.checked_sub(part).and_then(|at| self.sent.get(at)) {
-            _ if part == 0 => self.until,
-            Some(oldest) => (*oldest + WINDOW).min(self.until),
+    /// Returns the time from which one more request may be sent with a quota of `quota` requests
+    /// per window.
+    pub(super) fn next_request_at(&self, quota: u32) -> Instant {
+        let quota = quota as usize;
+        let count = self.sent.len();
+        match count.checked_sub(quota).and_then(|at| self.sent.get(at)) {
+            _ if quota == 0 => self.until,
+            Some(oldest) => (*oldest + RATE_WINDOW).min(self.until),
             None => Instant::default(),
         }
     }
 }
 
 impl Machine {
-    /// From when on a server may get one more request of this instance, as far as its warm-up goes.
-    pub(super) fn warm_at(&self, key: ServerKey) -> Instant {
+    /// Returns the time from which the warm-up of a server allows one more request from this
+    /// instance.
+    pub(super) fn next_warmup_request_at(&self, key: ServerKey) -> Instant {
         let server = &self.servers[key];
         let service = &self.services[server.service];
         if server.warmup.is_over(self.now) {
             return Instant::default();
         }
-        let Some(bound) = Bound::of(&service.limits()) else {
+        let Some(limit) = WarmupLimit::of(&service.limits()) else {
             return Instant::default();
         };
-        let part = match service.asks() {
-            _ if !self.fleet.is_settled(self.now) => 0,
-            Some(Asker::ForAll) => bound.asker_part(),
-            Some(Asker::ForItself) => server.warmup.part,
+        let quota = match service.asks() {
+            _ if !self.fleet.knows_fleet(self.now) => 0,
+            Some(Asker::ForAll) => limit.fleet_sender_quota(),
+            Some(Asker::ForItself) => server.warmup.quota,
             None => 0,
         };
-        server.warmup.next(part)
+        server.warmup.next_request_at(quota)
     }
 
-    /// A request is sent to a server, which counts while it warms up.
-    pub(super) fn warm(&mut self, key: ServerKey) {
+    /// Records a request to a server that warms up and schedules a dispatch for the time when the
+    /// next request is allowed.
+    pub(super) fn record_warmup_request(&mut self, key: ServerKey) {
         if self.servers[key].warmup.is_over(self.now) {
             return;
         }
-        self.servers[key].warmup.send(self.now);
-        let at = self.warm_at(key);
+        self.servers[key].warmup.record_request(self.now);
+        let at = self.next_warmup_request_at(key);
         self.pump_at(self.servers[key].service, at);
     }
 
-    /// Prepares the warm-up of a server as it is listed, and a look at what waits at its end.
-    pub(super) fn plan_warmup(&mut self, key: ServerKey) {
+    /// Computes the warm-up quota of a listed server and schedules a dispatch for the end of its
+    /// warm-up.
+    pub(super) fn update_warmup_quota(&mut self, key: ServerKey) {
         let server = &mut self.servers[key];
-        let Some(bound) = Bound::of(&self.services[server.service].limits()) else {
+        let Some(limit) = WarmupLimit::of(&self.services[server.service].limits()) else {
             return;
         };
         if !server.warmup.is_over(self.now) {
             let names = self.fleet.names();
-            server.warmup.part = bound.part(&server.name, &self.settings.name, names);
+            server.warmup.quota = limit.quota(&server.name, &self.settings.name, names);
             let (service, until) = (server.service, server.warmup.until);
             self.pump_at(service, until);
         }
     }
 
-    /// Other instances count: divides anew what servers that warm up may get.
-    pub(super) fn plan_warmups(&mut self) {
+    /// Recomputes the warm-up quotas of all servers after the list of instances has changed.
+    pub(super) fn update_warmup_quotas(&mut self) {
         let keys: Vec<ServerKey> = self.servers.keys().collect();
-        keys.into_iter().for_each(|key| self.plan_warmup(key));
+        keys.into_iter().for_each(|key| self.update_warmup_quota(key));
     }
 }
--- a/crates/core/tests/leaf/warmup.rs
+++ b/crates/core/tests/leaf/warmup.rs
@@ -5,7 +5,7 @@
 
 use bolero::TypeGenerator;
 use ladder_core::collections::Map;
-use ladder_core::leaf::warmup::{Bound, WINDOW};
+use ladder_core::leaf::warmup::{RATE_WINDOW, WarmupLimit};
 use ladder_core::leaf::{Event, Settings};
 use ladder_core::schema::catalogue::Limits;
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -15,14 +15,14 @@
 use crate::bed::{Bed, limited, peer, server, settings, work};
 use crate::open::{End, Open};
 
-const BOUND: Bound = Bound { rate: 12, most: 23 };
+const BOUND: WarmupLimit = WarmupLimit { rate: 12, max: 23 };
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|at| format!("porto-{at}")).collect()
 }
 
-fn part(bound: Bound, server: &str, own: &str, fleet: &[String]) -> u32 {
-    bound.part(server, own, fleet.iter().map(String::as_str))
+fn part(bound: WarmupLimit, server: &str, own: &str, fleet: &[String]) -> u32 {
+    bound.quota(server, own, fleet.iter().map(String::as_str))
 }
 
 /// Guards against parts that together are more than a server bears.
@@ -30,7 +30,7 @@
 fn parts_of_all_instances_are_half_of_the_bound() {
     for count in [1, 7, 9, 66, 195, 3700] {
         let fleet = names(count);
-        for (bound, all) in [(BOUND, 11), (Bound { rate: 4, most: 11 }, 4)] {
+        for (bound, all) in [(BOUND, 11), (WarmupLimit { rate: 4, max: 11 }, 4)] {
             for server in ["docks-1", "docks-2"] {
                 let parts = fleet.iter().map(|own| part(bound, server, own, &fleet));
                 assert_eq!(parts.sum::<u32>(), all, "{count} instances, {server}");
@@ -52,9 +52,9 @@
                     0 => own.as_str(),
                     step => fleet[(at + unknown + step) % count].as_str(),
                 });
-                sum += BOUND.part("docks-1", own, known);
+                sum += BOUND.quota("docks-1", own, known);
             }
-            assert!(sum <= BOUND.most, "{sum} of {count} that miss {unknown}");
+            assert!(sum <= BOUND.max, "{sum} of {count} that miss {unknown}");
         }
     }
 }
@@ -81,7 +81,7 @@
                 all.extend(sent.get("10.0.0.1:80").into_iter().flatten().copied());
             }
             let most = most_in_a_second(&all);
-            let bound = if unknown == 0 { BOUND.most / 2 } else { BOUND.most };
+            let bound = if unknown == 0 { BOUND.max / 2 } else { BOUND.max };
             assert!(most > 0 && most <= bound as usize, "{most} of {count} that miss {unknown}");
         }
     }
@@ -133,7 +133,7 @@
             queue: 100,
             extra_percent: 20,
             warmup_rate: BOUND.rate,
-            warmup_most: BOUND.most,
+            warmup_most: BOUND.max,
             warmup_ms: 3000,
             ..Limits::default()
         };
@@ -323,7 +323,7 @@
                 let cold = taken.iter().filter(|address| &***address == "10.0.0.1:80");
                 sent.extend(cold.filter(|_| bed.now < cold_until).map(|_| bed.now));
                 match *step {
-                    Step::Cold(true) => cold_until = cold_until.max(bed.now + WINDOW * 2),
+                    Step::Cold(true) => cold_until = cold_until.max(bed.now + RATE_WINDOW * 2),
                     Step::Cold(false) => cold_until = bed.now,
                     _ => {}
                 }
