--- a/crates/core/tests/leaf/warmup.rs
+++ b/crates/core/tests/leaf/warmup.rs
@@ -1,4 +1,4 @@
-//! Servers that warm up and bear few requests a second, over all instances.
+//! Tests of the limit on the requests that servers get from all instances while they warm up.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,125 +15,128 @@
 use crate::bed::{Bed, limited, peer, server, settings, work};
 use crate::open::{End, Open};
 
-const BOUND: WarmupLimit = WarmupLimit { rate: 12, max: 23 };
+const LIMIT: WarmupLimit = WarmupLimit { rate: 12, max: 23 };
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|at| format!("porto-{at}")).collect()
 }
 
-fn part(bound: WarmupLimit, server: &str, own: &str, fleet: &[String]) -> u32 {
-    bound.quota(server, own, fleet.iter().map(String::as_str))
+fn quota(limit: WarmupLimit, server: &str, own: &str, fleet: &[String]) -> u32 {
+    limit.quota(server, own, fleet.iter().map(String::as_str))
 }
 
-/// Guards against parts that together are more than a server bears.
+/// Guards against quotas whose sum exceeds the limit of a server.
 #[test]
-fn parts_of_all_instances_are_half_of_the_bound() {
+fn quotas_of_all_instances_sum_to_half_of_the_limit() {
     for count in [1, 7, 9, 66, 195, 3700] {
         let fleet = names(count);
-        for (bound, all) in [(BOUND, 11), (WarmupLimit { rate: 4, max: 11 }, 4)] {
+        for (limit, all) in [(LIMIT, 11), (WarmupLimit { rate: 4, max: 11 }, 4)] {
             for server in ["docks-1", "docks-2"] {
-                let parts = fleet.iter().map(|own| part(bound, server, own, &fleet));
-                assert_eq!(parts.sum::<u32>(), all, "{count} instances, {server}");
+                let quotas = fleet.iter().map(|own| quota(limit, server, own, &fleet));
+                assert_eq!(quotas.sum::<u32>(), all, "{count} instances, {server}");
             }
         }
     }
 }
 
-/// Guards against a bound that is broken because instances know different others.
+/// Guards against exceeding the limit when instances know different sets of other instances.
 #[test]
-fn parts_of_instances_that_differ_stay_within_the_bound() {
+fn quotas_of_instances_with_different_views_stay_within_the_limit() {
     for count in [7, 66, 195] {
         let fleet = names(count);
-        for unknown in [1, 2, count / 8, count / 4] {
+        for missing in [1, 2, count / 8, count / 4] {
             let mut sum = 0;
             for (at, own) in fleet.iter().enumerate() {
-                // Each has not heard of some others, and of other ones than its neighbours.
-                let known = (0..count - unknown).map(|step| match step {
+                // Each instance misses some others, and not the same ones as its neighbours.
+                let known = (0..count - missing).map(|step| match step {
                     0 => own.as_str(),
-                    step => fleet[(at + unknown + step) % count].as_str(),
+                    step => fleet[(at + missing + step) % count].as_str(),
                 });
-                sum += BOUND.quota("docks-1", own, known);
+                sum += LIMIT.quota("docks-1", own, known);
             }
-            assert!(sum <= BOUND.max, "{sum} of {count} that miss {unknown}");
+            assert!(sum <= LIMIT.max, "sum {sum} of {count} instances that miss {missing}");
         }
     }
 }
 
-/// Guards against a bound that holds for each instance and not for all of them.
+/// Guards against a limit that is kept by each instance alone but not by all instances together.
 #[test]
-fn instances_together_keep_to_the_bound() {
+fn all_instances_together_stay_within_the_limit() {
     for count in [7, 66, 195] {
-        for unknown in [0, 1, count / 8] {
+        for missing in [0, 1, count / 8] {
             let fleet = names(count);
             let mut all = Vec::new();
             for (at, own) in fleet.iter().enumerate() {
                 let others =
-                    || (1..count - unknown).map(|step| &fleet[(at + unknown + step) % count]);
-                let warm = Place { warmup: [0, 0], ..COLD };
+                    || (1..count - missing).map(|step| &fleet[(at + missing + step) % count]);
+                let warm = Setup { warmup: [0, 0], ..COLD };
                 let settings = Settings::builder(own, 7).seed(1).build();
-                let mut bed = Bed::cold(settings, limited(Limits::default(), vec![]));
-                bed.handle(warm.view_among(others().cloned()));
-                bed.connect();
-                bed.advance(4000);
-                bed.handle(COLD.view_among(others().cloned()));
-                bed.connect();
-                let sent = flood(&mut bed, 300);
+                let mut harness = Bed::cold(settings, limited(Limits::default(), vec![]));
+                harness.handle(warm.view_among(others().cloned()));
+                harness.connect();
+                harness.advance(4000);
+                harness.handle(COLD.view_among(others().cloned()));
+                harness.connect();
+                let sent = send_overload(&mut harness, 300);
                 all.extend(sent.get("10.0.0.1:80").into_iter().flatten().copied());
             }
-            let most = most_in_a_second(&all);
-            let bound = if unknown == 0 { BOUND.max / 2 } else { BOUND.max };
-            assert!(most > 0 && most <= bound as usize, "{most} of {count} that miss {unknown}");
+            let max = max_per_second(&all);
+            let limit = if missing == 0 { LIMIT.max / 2 } else { LIMIT.max };
+            assert!(
+                max > 0 && max <= limit as usize,
+                "{max} requests by {count} instances that miss {missing}"
+            );
         }
     }
 }
 
-/// Guards against a part that stays as it was when the instance knew nobody.
+/// Guards against a quota that is not reduced when an instance learns of other instances.
 #[test]
-fn part_shrinks_as_others_become_known() {
-    let long = Place { warmup: [30_000, 0], others: 0, ..COLD };
-    let mut bed = Bed::cold(settings(), limited(Limits::default(), vec![]));
+fn quota_shrinks_as_other_instances_become_known() {
+    let long = Setup { warmup: [30_000, 0], others: 0, ..COLD };
+    let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
     let (Event::View(alone), Event::View(joined)) =
-        (long.view(), Place { others: 2, ..long }.view())
+        (long.view(), Setup { others: 2, ..long }.view())
     else {
         panic!("views");
     };
-    bed.handle(Event::View(Arc::clone(&alone)));
-    bed.connect();
-    bed.advance(4000);
-    // Views share the services that did not change.
+    harness.handle(Event::View(Arc::clone(&alone)));
+    harness.connect();
+    harness.advance(4000);
+    // Consecutive views share the services that did not change.
     let neighbours = Arc::clone(&joined.neighbours);
-    bed.handle(Event::View(Arc::new(View { neighbours, ..View::clone(&alone) })));
+    harness.handle(Event::View(Arc::new(View { neighbours, ..View::clone(&alone) })));
     let fleet: Vec<String> = (1..=3).map(|at| format!("porto-{at}")).collect();
-    let own = part(BOUND, "docks-1", "porto-1", &fleet) as usize;
-    let sent = flood(&mut bed, 2000);
-    assert_eq!(most_in_a_second(&sent["10.0.0.1:80"]), own);
+    let own = quota(LIMIT, "docks-1", "porto-1", &fleet) as usize;
+    let sent = send_overload(&mut harness, 2000);
+    assert_eq!(max_per_second(&sent["10.0.0.1:80"]), own);
 }
 
-/// How the servers of a case are found.
+/// State of the servers and of the fleet in a test case.
 #[derive(Clone, Copy)]
-struct Place {
-    /// Milliseconds for which each server warms up, as published.
+struct Setup {
+    /// Remaining warm-up time of each server in milliseconds, as published.
     warmup: [u64; 2],
     evacuated: bool,
     scarce: bool,
-    /// Other instances.
+    /// Number of other instances.
     others: usize,
 }
 
-const COLD: Place = Place { warmup: [3000, 0], evacuated: false, scarce: false, others: 2 };
+const COLD: Setup = Setup { warmup: [3000, 0], evacuated: false, scarce: false, others: 2 };
 
-impl Place {
+impl Setup {
     fn view(self) -> Event {
         self.view_among((2..self.others + 2).map(|at| format!("porto-{at}")))
     }
 
-    /// The view of an instance that knows these others.
+    /// The view of an instance that knows these other instances.
     fn view_among(self, others: impl Iterator<Item = String>) -> Event {
         let limits = Limits {
             queue: 100,
             extra_percent: 20,
-            warmup_rate: BOUND.rate,
-            warmup_most: BOUND.max,
+            warmup_rate: LIMIT.rate,
+            warmup_most: LIMIT.max,
             warmup_ms: 3000,
             ..Limits::default()
         };
@@ -156,35 +159,38 @@
         Event::View(Arc::new(view))
     }
 
-    /// A machine that knows the others, with both servers warm, and then as this place says.
-    fn bed(self) -> Bed {
-        let mut bed = Bed::cold(settings(), limited(Limits::default(), vec![]));
-        bed.handle(Place { warmup: [0, 0], evacuated: false, ..self }.view());
-        bed.connect();
-        bed.advance(4000);
-        bed.handle(self.view());
-        bed.connect();
-        bed
+    /// A harness that knows the other instances and has seen both servers warm, and then gets this
+    /// state.
+    fn harness(self) -> Bed {
+        let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
+        harness.handle(Setup { warmup: [0, 0], evacuated: false, ..self }.view());
+        harness.connect();
+        harness.advance(4000);
+        harness.handle(self.view());
+        harness.connect();
+        harness
     }
 }
 
-/// Requests a second that each server gets of a machine that has more to send.
-fn flood(bed: &mut Bed, millis: u64) -> Map<String, Vec<Instant>> {
+/// Sends more work than the servers may take and returns the send times of the requests to each
+/// server, by address.
+fn send_overload(harness: &mut Bed, millis: u64) -> Map<String, Vec<Instant>> {
     let mut sent: Map<String, Vec<Instant>> = Map::default();
     for step in 0..millis / 10 {
-        bed.log.clear();
-        bed.work(work(1_000_000 * bed.now.as_micros() + step, "sweep"));
-        bed.each_sent(|bed, call| {
-            sent.entry(call.address.to_string()).or_default().push(bed.now);
-            bed.answer(call);
+        harness.log.clear();
+        harness.work(work(1_000_000 * harness.now.as_micros() + step, "sweep"));
+        harness.each_sent(|harness, call| {
+            sent.entry(call.address.to_string()).or_default().push(harness.now);
+            harness.answer(call);
         });
-        bed.advance(10);
-        bed.connect();
+        harness.advance(10);
+        harness.connect();
     }
     sent
 }
 
-fn most_in_a_second(times: &[Instant]) -> usize {
+/// Maximum number of requests within any one second.
+fn max_per_second(times: &[Instant]) -> usize {
     let window = |at: &Instant| {
         let within = |other: &&Instant| **other >= *at && other.since(*at) < Duration::from_secs(1);
         times.iter().filter(within).count()
@@ -194,89 +200,94 @@
 
 struct Case {
     name: &'static str,
-    place: Place,
-    /// Requests in any one second at the first server while it warms up.
-    most: usize,
+    setup: Setup,
+    /// Maximum number of requests in any one second to the first server while it warms up.
+    max: usize,
 }
 
-/// Guards against sending a cold server more than its share, and against never sending it more.
+/// Guards against sending a cold server more than its quota, and against never lifting the quota.
 #[test]
-fn cold_server_gets_its_part_and_then_all() {
+fn cold_server_gets_its_quota_and_a_warm_one_no_limit() {
     let fleet: Vec<String> = (1..=3).map(|at| format!("porto-{at}")).collect();
-    let own = part(BOUND, "docks-1", "porto-1", &fleet) as usize;
+    let own = quota(LIMIT, "docks-1", "porto-1", &fleet) as usize;
     let cases = [
-        Case { name: "each for itself", place: COLD, most: own },
-        Case { name: "one for all", place: Place { scarce: true, ..COLD }, most: 5 },
-        Case { name: "alone", place: Place { others: 0, ..COLD }, most: 11 },
+        Case { name: "each instance sends itself", setup: COLD, max: own },
+        Case { name: "one instance sends for all", setup: Setup { scarce: true, ..COLD }, max: 5 },
+        Case { name: "alone", setup: Setup { others: 0, ..COLD }, max: 11 },
     ];
-    for Case { name, place, most } in cases {
-        let mut bed = place.bed();
-        let cold = flood(&mut bed, 2950);
-        assert_eq!(most_in_a_second(&cold["10.0.0.1:80"]), most, "{name}: cold");
-        assert!(most_in_a_second(&cold["10.0.0.2:80"]) > 25, "{name}: the other one is warm");
-        bed.advance(100);
-        let warm = flood(&mut bed, 2000);
-        assert!(most_in_a_second(&warm["10.0.0.1:80"]) > 25, "{name}: warm");
+    for Case { name, setup, max } in cases {
+        let mut harness = setup.harness();
+        let cold = send_overload(&mut harness, 2950);
+        assert_eq!(max_per_second(&cold["10.0.0.1:80"]), max, "{name}: cold");
+        assert!(max_per_second(&cold["10.0.0.2:80"]) > 25, "{name}: the other server is warm");
+        harness.advance(100);
+        let warm = send_overload(&mut harness, 2000);
+        assert!(max_per_second(&warm["10.0.0.1:80"]) > 25, "{name}: warm");
     }
 }
 
-/// Guards against overloading the servers of a zone that comes back, which may be cold.
+/// Guards against overloading the servers of a zone whose evacuation has ended, because these
+/// servers may be cold.
 #[test]
-fn servers_of_a_zone_that_comes_back_count_as_cold() {
-    let evacuated = Place { warmup: [0, 0], evacuated: true, others: 0, ..COLD };
-    let mut bed = evacuated.bed();
-    let before = flood(&mut bed, 1000);
+fn servers_count_as_cold_after_an_evacuation() {
+    let evacuated = Setup { warmup: [0, 0], evacuated: true, others: 0, ..COLD };
+    let mut harness = evacuated.harness();
+    let before = send_overload(&mut harness, 1000);
     assert!(!before.contains_key("10.0.0.1:80"));
-    bed.handle(Place { evacuated: false, ..evacuated }.view());
-    bed.connect();
-    let cold = flood(&mut bed, 2900);
-    assert_eq!(most_in_a_second(&cold["10.0.0.1:80"]), 11);
-    bed.advance(200);
-    let warm = flood(&mut bed, 1000);
-    assert!(most_in_a_second(&warm["10.0.0.1:80"]) > 25);
+    harness.handle(Setup { evacuated: false, ..evacuated }.view());
+    harness.connect();
+    let cold = send_overload(&mut harness, 2900);
+    assert_eq!(max_per_second(&cold["10.0.0.1:80"]), 11);
+    harness.advance(200);
+    let warm = send_overload(&mut harness, 1000);
+    assert!(max_per_second(&warm["10.0.0.1:80"]) > 25);
 }
 
-/// Guards against an instance that has just started and takes itself for the only one.
+/// Guards against an instance that has just started and assumes that it is the only one.
 #[test]
-fn starting_instance_leaves_cold_servers_alone() {
-    let mut bed = Bed::cold(settings(), limited(Limits::default(), vec![]));
-    bed.handle(Place { others: 0, ..COLD }.view());
-    bed.connect();
-    let sent = flood(&mut bed, 2900);
+fn starting_instance_sends_nothing_to_cold_servers() {
+    let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
+    harness.handle(Setup { others: 0, ..COLD }.view());
+    harness.connect();
+    let sent = send_overload(&mut harness, 2900);
     assert!(!sent.contains_key("10.0.0.1:80"));
 }
 
-/// Guards against forgetting the rest of the fleet as soon as a partition hides it.
+/// Guards against dropping the other instances as soon as a network partition hides them.
 #[test]
-fn part_does_not_grow_when_others_vanish() {
-    let mut bed = Place { others: 60, ..COLD }.bed();
-    let before =
-        flood(&mut bed, 1000).get("10.0.0.1:80").map_or(0, |times| most_in_a_second(times));
-    bed.handle(Place { others: 0, ..COLD }.view());
-    let after = flood(&mut bed, 1000).get("10.0.0.1:80").map_or(0, |times| most_in_a_second(times));
+fn quota_does_not_grow_when_other_instances_vanish() {
+    let mut harness = Setup { others: 60, ..COLD }.harness();
+    let before = send_overload(&mut harness, 1000)
+        .get("10.0.0.1:80")
+        .map_or(0, |times| max_per_second(times));
+    harness.handle(Setup { others: 0, ..COLD }.view());
+    let after = send_overload(&mut harness, 1000)
+        .get("10.0.0.1:80")
+        .map_or(0, |times| max_per_second(times));
     assert!(after <= before.max(1), "{after} after {before}");
 }
 
-/// Guards against holding work that no server can take in time.
+/// Guards against queueing work that no server can take in time.
 #[test]
-fn work_beyond_what_cold_servers_bear_is_refused() {
-    let mut bed = Place { warmup: [30_000, 30_000], others: 60, scarce: true, ..COLD }.bed();
+fn work_beyond_the_warmup_limit_is_refused() {
+    let mut harness =
+        Setup { warmup: [30_000, 30_000], others: 60, scarce: true, ..COLD }.harness();
     let mut refused = 0;
     for query in 0..30 {
-        bed.log.clear();
-        bed.work(work(query, "sweep"));
-        bed.each_sent(Bed::answer);
-        refused += bed
+        harness.log.clear();
+        harness.work(work(query, "sweep"));
+        harness.each_sent(Bed::answer);
+        refused += harness
             .replies()
             .iter()
             .filter(|one| **one == (Verdict::NotRun, Reason::WarmingUp))
             .count();
     }
     assert_eq!(refused, 30 - 10, "five for each of two servers");
-    assert!(bed.retry_after() > 0);
+    assert!(harness.retry_after() > 0);
 }
 
-/// Something that happens while a server warms up.
+/// Event during the warm-up of a server.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
@@ -288,46 +299,47 @@
     Connect,
 }
 
-/// Guards against an order of events in which a cold server gets more than an instance's part.
+/// Guards against an order of events in which a cold server gets more than the quota of an
+/// instance.
 #[test]
-fn any_order_of_events_keeps_to_the_part() {
+fn no_order_of_events_exceeds_the_quota() {
     let fleet: Vec<String> = (1..=3).map(|at| format!("porto-{at}")).collect();
-    let own = part(BOUND, "docks-1", "porto-1", &fleet) as usize;
+    let own = quota(LIMIT, "docks-1", "porto-1", &fleet) as usize;
     ladder_property::check(200)
         .with_generator(bolero::produce::<Vec<Step>>().with().len(0_usize..=120))
         .for_each(|steps| {
-            let mut place = Place { warmup: [0, 0], ..COLD };
-            let mut bed = place.bed();
+            let mut setup = Setup { warmup: [0, 0], ..COLD };
+            let mut harness = setup.harness();
             let (mut sent, mut open) = (Vec::new(), Open::default());
-            // From when on the first server is cold by all that was said.
-            let mut cold_until = bed.now;
+            // End of the time in which the first server is cold according to all events so far.
+            let mut cold_until = harness.now;
             for (number, step) in (1_u64..).zip(steps) {
-                open.note(&bed);
-                bed.log.clear();
+                open.note(&harness);
+                harness.log.clear();
                 match *step {
                     Step::Work(count) => (0..u64::from(count % 16))
-                        .for_each(|at| bed.work(work(1000 * number + at, "sweep"))),
-                    Step::Wait(tens) => bed.advance(u64::from(tens) * 4),
-                    Step::Connect => bed.connect(),
+                        .for_each(|at| harness.work(work(1000 * number + at, "sweep"))),
+                    Step::Wait(tens) => harness.advance(u64::from(tens) * 4),
+                    Step::Connect => harness.connect(),
                     Step::Cold(cold) => {
-                        place.warmup[0] = if cold { 3000 } else { 0 };
-                        bed.handle(place.view());
+                        setup.warmup[0] = if cold { 3000 } else { 0 };
+                        harness.handle(setup.view());
                     }
                     Step::Evacuated(evacuated) => {
-                        place.evacuated = evacuated;
-                        bed.handle(place.view());
+                        setup.evacuated = evacuated;
+                        harness.handle(setup.view());
                     }
-                    Step::End(at, end) => open.end(&mut bed, at, end),
+                    Step::End(at, end) => open.end(&mut harness, at, end),
                 }
-                let taken = open.take(&bed);
+                let taken = open.take(&harness);
                 let cold = taken.iter().filter(|address| &***address == "10.0.0.1:80");
-                sent.extend(cold.filter(|_| bed.now < cold_until).map(|_| bed.now));
+                sent.extend(cold.filter(|_| harness.now < cold_until).map(|_| harness.now));
                 match *step {
-                    Step::Cold(true) => cold_until = cold_until.max(bed.now + RATE_WINDOW * 2),
-                    Step::Cold(false) => cold_until = bed.now,
+                    Step::Cold(true) => cold_until = cold_until.max(harness.now + RATE_WINDOW * 2),
+                    Step::Cold(false) => cold_until = harness.now,
                     _ => {}
                 }
             }
-            assert!(most_in_a_second(&sent) <= own, "{sent:?}, part {own}");
+            assert!(max_per_second(&sent) <= own, "{sent:?}, quota {own}");
         });
 }
