--- a/crates/core/src/leaf/admission.rs
+++ b/crates/core/src/leaf/admission.rs
@@ -45,6 +45,7 @@
 }
 
 impl FlowCounts {
+    /// Reduces both counts by the time since their last decay.
     fn decay(&mut self, now: Instant) {
         let time_constants = now.since(self.decayed_until).as_secs_f64() / DECAY_TIME.as_secs_f64();
         let remaining = (-time_constants).exp();
--- a/crates/core/src/leaf/collect.rs
+++ b/crates/core/src/leaf/collect.rs
@@ -31,11 +31,11 @@
     to: Peer,
     query: Query,
     round: u32,
-    /// Time at which the work arrived.
+    /// Time at which the aggregated portions arrived.
     arrived: Instant,
     /// Number of records that the entry instance wants from all portions together.
     top: usize,
-    /// Number of portions without a reply.
+    /// Number of aggregated portions that have no reply yet.
     ///
     /// Invariant: an aggregation is removed when this number becomes zero, because every portion
     /// gets a reply.
@@ -43,12 +43,12 @@
     /// Answers that wait to be merged. Refusals are sent at once, because the entry instance may
     /// send the portion to another instance.
     replies: Vec<Reply>,
-    /// The time of the aggregation is over: later replies are sent at once.
+    /// Whether the time of the aggregation is over, so that later replies are sent at once.
     timed_out: bool,
 }
 
 impl Machine {
-    /// Starts a partial aggregation if the work asks for one.
+    /// Starts a partial aggregation if the work requests one.
     pub(super) fn begin_aggregation(
         &mut self,
         job: &Job,
@@ -165,6 +165,7 @@
     replies[0].merged = count;
 }
 
+/// Responses in the parts of a reply.
 fn responses(reply: &Reply) -> impl Iterator<Item = &Response> {
     reply.parts.iter().filter_map(|part| part.response.as_ref())
 }
--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Updates the crash evidence when a call ends with this outcome. `complete_response` says that
-    /// the server sent a complete response, even if it counts as an error.
+    /// Updates the crash evidence when a call ends with this outcome. `complete_response` is `true`
+    /// if the server sent a complete response, even one that counts as an error.
     pub(super) fn call_ended(
         &mut self,
         attempt: &Attempt,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Refutes the reported termination of a server that has answered a call.
+    /// Refutes the reported termination of a server that has answered a call sent after the report.
     ///
     /// An instance that is cut off from the network considers all servers terminated. Only a
     /// connection that was open before other instances lost their calls refutes the report: a later
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Marks all services with queued portions for dispatch, because portions held until there is
-    /// news of a server may continue.
+    /// Marks all services with queued portions for dispatch, because portions that were kept queued
+    /// until the state of a server is known may be sent now.
     fn mark_waiting_services(&mut self) {
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
@@ -176,13 +176,13 @@
         }
     }
 
-    /// Whether a portion is held back because its request may crash servers.
+    /// Whether a portion is kept queued for now because its request may crash servers.
     ///
     /// A poison request crashes every server that begins to run it. All of its calls fail at once,
     /// and its portions would crash the next server of each shard before the first call that could
-    /// clear the request is answered. The portions are held until a portion of the same sweep is
-    /// answered, a server accepts connections again, or the servers are known to have terminated. A
-    /// harmless request loses a few milliseconds by this.
+    /// clear the request is answered. The portions are kept queued until a portion of the same
+    /// sweep is answered, a server accepts connections again, or the servers are known to have
+    /// terminated. A harmless request is delayed by a few milliseconds.
     pub(super) fn is_held(&self, key: PortionKey) -> bool {
         let request = self.portions[key].job.fingerprint;
         let held = |request| self.crashes.must_hold(self.now, request);
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Records a lost call as evidence against its request and holds its portions for
-    /// [`HOLD_TIME`].
+    /// Records a lost call as evidence against its request and schedules a dispatch after
+    /// [`HOLD_TIME`], until which the portions of the request may be kept queued.
     fn connection_lost(&mut self, key: ServerKey, request: Fingerprint) {
         let losses = &mut self.servers[key].losses;
         losses.retain(|loss| loss.request != request);
@@ -273,8 +273,8 @@
         self.report_crashes(out);
     }
 
-    /// Reports crashed servers whose requests are settled, and lets held portions be considered
-    /// again.
+    /// Reports crashed servers whose requests have no open call or portion any more, and schedules
+    /// a dispatch of the portions that were kept queued.
     fn report_crashes(&mut self, out: &mut Vec<Action>) {
         if self.crashes.has_suspects() {
             self.mark_waiting_services();
--- a/crates/core/src/leaf/crash/table.rs
+++ b/crates/core/src/leaf/crash/table.rs
@@ -14,10 +14,11 @@
 /// Maximum number of lost calls kept per server. A server works on only a few requests at once.
 pub(super) const MAX_LOSSES_PER_SERVER: usize = 16;
 
-/// Number of suspected servers from which the portions of a request are held.
+/// Number of servers suspected to have crashed under a request from which all portions of the
+/// request are kept queued.
 const MIN_SUSPECTS: usize = 3;
-/// Time for which a portion with a lost connection is held until another portion of the request is
-/// answered.
+/// Time for which a portion with a lost connection is kept queued while another portion of its
+/// request may still be answered.
 pub(super) const HOLD_TIME: Duration = Duration::from_millis(50);
 
 /// A call whose connection was lost before an answer arrived.
@@ -31,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Suspect {
     server: ServerKey,
-    /// The server process is known to have terminated.
+    /// Whether the server process is known to have terminated.
     terminated: bool,
     at: Instant,
 }
@@ -40,7 +41,7 @@
 #[derive(Debug)]
 pub(super) struct Crash {
     pub(super) incarnation: Incarnation,
-    /// Time at which the first call at the server lost its connection.
+    /// Time at which the first call at the crashed server lost its connection.
     pub(super) lost_at: Instant,
     /// Requests that were at the server when it terminated, each listed once.
     pub(super) requests: Vec<Fingerprint>,
@@ -53,14 +54,14 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OpenCounts {
     pub(super) calls: u32,
-    /// Number of portions without a reply.
+    /// Number of portions of the request that have no reply yet.
     pub(super) portions: u32,
 }
 
 /// Evidence about the requests that are at servers, by fingerprint.
 #[derive(Debug, Default)]
 pub(in crate::leaf) struct Crashes {
-    /// Requests with open calls or portions at this instance.
+    /// Counts of the requests that have open calls or portions at this instance.
     open: Map<Fingerprint, OpenCounts>,
     /// Requests recently answered by a server.
     answered: Recent<Fingerprint>,
@@ -139,10 +140,12 @@
         self.suspects.remove(&request).is_some()
     }
 
+    /// Whether a server recently answered the request.
     pub(super) fn was_answered(&self, request: Fingerprint) -> bool {
         self.answered.contains(&request)
     }
 
+    /// Whether any server is suspected to have crashed under a request.
     pub(super) fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
@@ -153,8 +156,8 @@
         self.recent_suspects(now, request, EVIDENCE_MAX_AGE) >= MIN_SUSPECTS
     }
 
-    /// Whether the portions of a request are held: many servers are suspected to have crashed under
-    /// it, or one recently while open calls of the request may still clear it.
+    /// Whether the portions of a request are kept queued: many servers are suspected to have
+    /// crashed under it, or one recently while open calls of the request may still clear it.
     pub(super) fn must_hold(&self, now: Instant, request: Fingerprint) -> bool {
         let recent = self.recent_suspects(now, request, HOLD_TIME);
         self.has_many_suspects(now, request) || (recent > 0 && self.calls(request) > 0)
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch: decides which queued portion is sent to which server now.
+//! Dispatch: decides which queued portion (the part of a query for one service) is sent to which
+//! server now.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +28,7 @@
 /// Number of consecutive failures to connect after which a server without a connection counts as
 /// unreachable.
 pub(super) const UNREACHABLE_OPEN_FAILURES: u32 = 3;
-/// Weight of failures in the cost of a server: a failure rate of 1 adds this many times the
+/// Weight of failed and shed calls in the cost of a server: a rate of 1 adds this many times the
 /// expected call time.
 const FAILURE_COST_FACTOR: f64 = 4.0;
 /// Factor on the cost of a server in another availability zone, because traffic between zones is
@@ -265,7 +266,7 @@
         eligible.is_none_or(|marks| marks.contains(&self.servers[candidate].mark))
     }
 
-    /// Whether a server serves the index version that the work asks for.
+    /// Whether a server serves the index version that the work requires.
     pub(super) fn serves_version(&self, key: ServerKey, work: &wire::Work) -> bool {
         // A routing version determines the services of a forwarded message; their servers answer
         // requests under every routing version.
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -1,4 +1,5 @@
-//! Handles the end of a call: updates statistics, then retries the portion or replies to it.
+//! Handles the end of a call to a server: updates statistics, then retries the portion of the query
+//! or replies to it.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -1,5 +1,5 @@
-//! Hedging: second calls for portions whose first call is slow. Non-idempotent portions are never
-//! hedged.
+//! Hedging: sends a second call for a portion of a query whose first call is slow. Non-idempotent
+//! portions are never hedged.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
 /// server can take the first ones.
 const HEDGE_SCAN_MARGIN: usize = 8;
 /// Share of the target time of a message, in percent, after which a call counts as slow whatever
-/// call times are learned. With sweeps over 20 services whose servers stall 4% of the time, 20
-/// hedges calls that would have ended anyway (a loss of 0.01 of the value of answers under high
-/// load), and 40 is no better than 30.
+/// call times are learned. With sweeps over 20 services whose servers stall 4% of the time, a share
+/// of 20% spends hedges on calls that would have ended anyway (a loss of 0.01 of the value of
+/// answers under high load), and 40% is no better than 30%.
 const HEDGE_DELAY_TARGET_PERCENT: u32 = 30;
 
 /// Load of the servers of a service, in other calls per slot, above which no hedges are sent.
@@ -50,9 +50,9 @@
     /// Time after which a call of a portion counts as slow; `None` if there is no target time and
     /// call times are not learned yet.
     ///
-    /// A hedge sent when most of the target time has passed comes too late, and before call times
-    /// are learned no hedge would be sent at all. With a target time, a call therefore counts as
-    /// slow after [`HEDGE_DELAY_TARGET_PERCENT`] of it at the latest.
+    /// A hedge sent when most of the target time has passed is too late, and before call times are
+    /// learned no hedge would be sent at all. With a target time, a call therefore counts as slow
+    /// after [`HEDGE_DELAY_TARGET_PERCENT`] of it at the latest.
     pub(super) fn hedge_delay(&self, key: PortionKey) -> Option<Duration> {
         let portion = &self.portions[key];
         let learned = self.slow(portion.service, portion.kind);
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -1,4 +1,5 @@
-//! Accepts arriving work: refuses a portion at once or queues it.
+//! Accepts arriving work: refuses each portion (the part of a query for one service) at once or
+//! queues it.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/core/src/leaf/kinds.rs
+++ b/crates/core/src/leaf/kinds.rs
@@ -20,7 +20,7 @@
 /// Maximum number of kinds of work learned separately; all further kinds are learned as one.
 const MAX_KINDS: usize = 16;
 
-/// A kind of work: an operation or a route. The value is its hash.
+/// A kind of work: an operation or a route, by an identifier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Kind(pub(super) u64);
 
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -17,7 +17,8 @@
 use crate::view::{self, View};
 
 impl Machine {
-    /// Applies a new view.
+    /// Applies a new view: updates services and servers, and refuses queued portions that can no
+    /// longer be sent.
     pub(super) fn refresh(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let others = view.neighbours.iter().map(|neighbour| &neighbour.peer.name);
@@ -49,7 +50,7 @@
         self.apply_quarantine(&before.quarantine, out);
     }
 
-    /// Applies one service of a new view.
+    /// Adds or updates one service from a new view, with its servers.
     fn apply_service(&mut self, listed: &view::Service, out: &mut Vec<Action>) {
         let id = match self.service_ids.get(&listed.name) {
             Some(id) => *id,
@@ -79,7 +80,8 @@
         id
     }
 
-    /// Applies one server of a new view. A server with another address counts as another server.
+    /// Adds or updates one server from a new view. A server with another address counts as another
+    /// server.
     fn apply_server(&mut self, id: ServiceId, listed: &view::Server, out: &mut Vec<Action>) {
         let known = self.server_keys.get(&listed.name).copied();
         let same = known.filter(|key| {
@@ -170,6 +172,7 @@
         true
     }
 
+    /// Removes a server from its service and from the tables of servers.
     fn remove_server(&mut self, id: ServiceId, key: ServerKey) {
         self.services[id].servers.retain(|other| *other != key);
         let Some(server) = self.servers.remove(key) else {
--- a/crates/core/src/leaf/siblings.rs
+++ b/crates/core/src/leaf/siblings.rs
@@ -24,15 +24,15 @@
 /// Minimum lag behind the median call time after which a call counts as slow; the lag is half of
 /// the median if that is longer.
 const MIN_LAG: Duration = Duration::from_millis(1);
-/// Factor on the hedge delay of a single call while fewer than half of the portions are answered,
-/// so that there is no median to compare with.
+/// While fewer than half of the portions of a sweep are answered, there is no median call time to
+/// compare with, and a portion is hedged after this multiple of the usual hedge delay.
 const NO_MEDIAN_DELAY_FACTOR: u32 = 2;
 
 /// Progress of the portions of one message of work.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Siblings {
     total: usize,
-    /// Number of portions without a reply.
+    /// Number of portions of the group that have no reply yet.
     ///
     /// Invariant: the group is removed when this number becomes zero.
     open: usize,
--- a/crates/core/src/leaf/verdict.rs
+++ b/crates/core/src/leaf/verdict.rs
@@ -15,8 +15,8 @@
     }
 }
 
-/// Returns why a call with this outcome gave no answer. `timed_out` says that the call used up its
-/// timeout.
+/// Returns why a call with this outcome gave no answer. `timed_out` is `true` if the call used up
+/// its timeout.
 pub(super) fn reason(outcome: &Outcome, timed_out: bool) -> Reason {
     match outcome {
         Outcome::Answer(_) => Reason::Unspecified,
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -18,8 +18,9 @@
 use crate::control::hash;
 use crate::time::Instant;
 
-/// Window in which requests are counted. It is slightly longer than the one second of the limit,
-/// because requests take different times to reach the server.
+/// Window in which the requests to a server that warms up are counted. The window is slightly
+/// longer than the one second of the limit, because requests take different times to reach the
+/// server.
 pub const RATE_WINDOW: Duration = Duration::from_millis(1050);
 /// Maximum number of instances that may send for the whole fleet at the same time while the fleet
 /// changes.
@@ -34,9 +35,10 @@
 /// Limit of the requests that a server may get from the whole fleet while it warms up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WarmupLimit {
-    /// Requests per second that the server should get.
+    /// Target rate of requests to a server that warms up, per second over the whole fleet.
     pub rate: u32,
-    /// Maximum number of requests that the server may get in any one second.
+    /// Maximum number of requests that a server may get from the whole fleet in any one second
+    /// while it warms up.
     pub max: u32,
 }
 
@@ -47,7 +49,8 @@
         (limit.rate > 0 && limit.max > 0).then_some(limit)
     }
 
-    /// Quota of the instance `own` when every instance sends to the server itself.
+    /// Number of requests per window that the instance `own` may send when every instance sends to
+    /// the server itself.
     ///
     /// Invariant: for all instances with the same list, the quotas sum to no more than half of
     /// `max`.
@@ -64,7 +67,8 @@
         divisible / count + u32::from(rank < divisible % count)
     }
 
-    /// Quota of an instance that sends to the server for all other instances.
+    /// Number of requests per window that an instance may send when it sends to the server for all
+    /// other instances.
     pub const fn fleet_sender_quota(self) -> u32 {
         self.max / MAX_FLEET_SENDERS
     }
@@ -105,6 +109,7 @@
         self.started.is_some_and(|at| now.since(at) >= FLEET_DISCOVERY_TIME)
     }
 
+    /// Names of the instances among which limits are divided.
     fn names(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(|name| &**name)
     }
@@ -116,7 +121,7 @@
 pub(super) struct Warmup {
     /// Remaining warm-up time as last published.
     published: Duration,
-    /// Time at which the warm-up ends.
+    /// Time at which the warm-up of the server ends.
     until: Instant,
     /// Requests that this instance may send in each window while every instance sends to the server
     /// itself.
@@ -143,11 +148,12 @@
         self.until = self.until.max(now + span);
     }
 
+    /// Whether the warm-up of the server has ended.
     pub(super) fn is_over(&self, now: Instant) -> bool {
         now >= self.until
     }
 
-    /// Records that a request is sent now.
+    /// Records that a request to a server that warms up is sent now.
     pub(super) fn record_request(&mut self, now: Instant) {
         while self.sent.front().is_some_and(|at| now.since(*at) >= RATE_WINDOW) {
             self.sent.pop_front();
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -30,7 +30,7 @@
 ];
 /// Zone of each server of a service.
 const ZONES: [&str; 4] = ["trindade", "campanha", "sao-bento", "campanha"];
-/// Services of each sweep; each of them gets one part.
+/// Services of each sweep; each service gets one part.
 const PARTS: [&str; 3] = ["docks-a", "docks-b", "docks-c"];
 /// Maximum number of servers on which one part may run.
 const ATTEMPTS: usize = 2;
@@ -453,8 +453,9 @@
 }
 
 /// A server leaves or is gone, and only one of an instance and its successor knows. The other still
-/// selects the server, so their pairs differ and a part runs on three servers. Five requests ran on
-/// three servers in a run with 41 leaving servers.
+/// selects the server, so their pairs differ and a part runs on three servers. This is the
+/// suspected cause of a run in which five requests ran on three servers while 41 servers were
+/// leaving.
 #[test]
 fn instances_with_different_views_use_the_same_servers() {
     for state in [ServerState::Leaving, ServerState::Unknown] {
--- a/crates/core/tests/leaf/collect.rs
+++ b/crates/core/tests/leaf/collect.rs
@@ -281,7 +281,7 @@
 /// Checks all replies of a simulation.
 #[derive(Default)]
 struct ReplyChecker {
-    /// Records that each part of each query answered.
+    /// Records in the answer of each part, by query and part.
     answered: Map<(u64, String), Vec<u8>>,
     replied: Map<(u64, String), u32>,
 }
--- a/crates/core/tests/leaf/crash.rs
+++ b/crates/core/tests/leaf/crash.rs
@@ -211,7 +211,8 @@
     then: fn(&mut Bed, &[Sent]),
 }
 
-/// Guards against holding back a harmless sweep whose servers terminate or whose links break.
+/// Guards against keeping the parts of a harmless sweep queued when its servers terminate or its
+/// links break.
 #[test]
 fn parts_of_a_harmless_request_are_retried() {
     let cases = [
@@ -307,7 +308,7 @@
     assert_eq!(harness.sent().len(), 1, "an answered request crashes no server");
 }
 
-/// Guards against holding a part for calls that never end.
+/// Guards against keeping a part queued for calls that never end.
 #[test]
 fn part_with_a_lost_call_is_held_only_briefly() {
     let mut harness = harness();
@@ -392,7 +393,8 @@
     refuted: bool,
 }
 
-/// Guards against clearing a poison request because its server answers after it has started again.
+/// Guards against clearing a poison request because the server that it crashed answers after its
+/// restart.
 #[test]
 fn connection_opened_after_the_termination_refutes_nothing() {
     let case = |name, [opened_at, ended, received]: [u64; 3], address_taken, refuted| Reopened {
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -173,8 +173,9 @@
     }
 }
 
-/// Operators count a refused call at a server like any other call. Retries without payment after
-/// the refusals of one overloaded server would exceed the limit that all instances share.
+/// Operators count a refused call at a server like any other call. If retries of refused calls
+/// spent no extra calls, the refusals of one overloaded server would exceed the limit that all
+/// instances share.
 #[test]
 fn retries_of_refused_calls_spend_extra_calls() {
     for (count_refused, calls) in [(false, 2), (true, 1)] {
--- a/crates/core/tests/leaf/hedge.rs
+++ b/crates/core/tests/leaf/hedge.rs
@@ -11,7 +11,7 @@
 
 /// Number of calls of 10 ms after which the call times are learned.
 const LEARNING_CALLS: usize = 200;
-/// Address of docks-1.
+/// Address of the first server, docks-1.
 const FIRST: &str = "10.0.0.1:80";
 
 fn learned_harness() -> Bed {
--- a/crates/core/tests/leaf/load.rs
+++ b/crates/core/tests/leaf/load.rs
@@ -58,7 +58,7 @@
     sent: Sent,
 }
 
-/// Drives a harness whose servers take as long as `slowdown` says.
+/// Drives a harness whose servers process work at the speeds given by `slowdown`.
 struct LoadDriver {
     harness: Bed,
     /// Factor on the processing time of each server, by address.
@@ -277,7 +277,7 @@
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::TargetLost)], "the booking");
     harness.connect();
     let again = harness.sent();
-    assert_eq!(again.len(), 1, "the sweep goes out again: {again:?}");
+    assert_eq!(again.len(), 1, "the sweep is retried: {again:?}");
     assert_ne!(again[0].lane, sweep.lane);
     harness.log.clear();
     harness.handle(view(service(vec![Server { leaving: true, ..with_incarnation(5) }])));
@@ -299,7 +299,7 @@
 fn instance_that_sends_for_all_can_hedge() {
     struct Case {
         scarce: bool,
-        /// Instance from which the work comes.
+        /// Name of the instance that sends the work.
         from: &'static str,
         calls: usize,
     }
--- a/crates/core/tests/leaf/warmup.rs
+++ b/crates/core/tests/leaf/warmup.rs
@@ -98,7 +98,7 @@
     let (Event::View(alone), Event::View(joined)) =
         (long.view(), Setup { others: 2, ..long }.view())
     else {
-        panic!("views");
+        panic!("expected views");
     };
     harness.handle(Event::View(Arc::clone(&alone)));
     harness.connect();
