--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -1,4 +1,5 @@
-//! Owns services: slots and connections of their servers, queue, hedges and retries.
+//! The leaf machine: owns search services and sends work to their servers. It keeps each service's
+//! queue, the slots and pooled connections of the service's servers, hedges and retries.
 
 mod admission;
 mod attempt;
--- a/crates/core/src/leaf/event.rs
+++ b/crates/core/src/leaf/event.rs
@@ -1,4 +1,4 @@
-//! What the leaf machine is told and what it asks for.
+//! Events that the leaf machine handles and actions that it requests from the shell.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,165 +13,171 @@
 use crate::view::{Peer, View};
 
 new_key_type! {
-    /// A connection to a server. It carries one request at a time.
+    /// Key of a pooled connection to a server. The connection carries one request at a time.
     pub struct LaneKey;
 
-    /// One sending of one portion to one server.
+    /// Key of a call: one request that carries one portion to one server.
     pub struct AttemptKey;
 }
 
-/// How a call at a target ended.
+/// Outcome of a call to a target.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// The target answered.
+    /// The target replied with an answer.
     Answer(target::Answer),
-    /// The target refused: proof that the request did not run.
+    /// The target refused the request: proof that the request did not run.
     Refusal(target::Refusal),
-    /// The target answered with an error or something that is no answer: it may have run.
+    /// The target replied with an error or with a reply that is no valid answer: the request may
+    /// have run.
     Error,
-    /// The connection broke after the request may have been written: it may have run.
+    /// The connection broke after the request may have been written: the request may have run.
     Lost,
-    /// Nothing of the request was written: it did not run.
+    /// No byte of the request was written: the request did not run.
     Unsent,
 }
 
-/// What the machine is told.
+/// An event that the leaf machine handles.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Work from an entry, which may be of this instance.
+    /// Portions of a query received from its entry instance, which may be this instance.
     Work {
-        /// The entry's instance.
+        /// The entry instance of the query.
         from: Peer,
-        /// Incarnation of the entry's instance.
+        /// Incarnation of the entry instance.
         incarnation: u64,
-        /// The work.
+        /// The work message with its portions.
         work: wire::Work,
     },
-    /// An entry gives a query up.
+    /// The entry instance cancelled a query.
     Cancel {
-        /// Name of the entry's instance.
+        /// Name of the entry instance.
         from: Arc<str>,
-        /// The query.
+        /// The cancellation message, which names the query.
         cancel: wire::Cancel,
     },
-    /// A lane asked for by [`Action::Open`] is connected and idle.
+    /// A pooled connection requested by [`Action::Open`] is established and idle, or the
+    /// cancellation or load report request on it is done.
     Opened(LaneKey),
-    /// A lane failed or was closed by the target while idle, or could not be opened; while it
-    /// carries a call: the target will close it after the call's end.
+    /// A pooled connection failed or the target closed it while idle, or the connection could not
+    /// be opened. For a connection that carries a call: the target will close the connection after
+    /// the call's end.
     Closed(LaneKey),
-    /// A lane could not be opened, as nothing listens at the server's address.
+    /// A pooled connection could not be opened because no process listens at the server's address.
     Refused(LaneKey),
-    /// A call ended. After anything but an answer or a refusal the shell has closed the lane, and
-    /// no further event names it.
+    /// A call ended. After any outcome but an answer or a refusal the shell has closed the pooled
+    /// connection, and no further event names that connection.
     Ended {
-        /// The call.
+        /// Key of the call.
         attempt: AttemptKey,
-        /// How it ended.
+        /// Outcome of the call.
         outcome: Outcome,
     },
-    /// A server's load report, or `None` when it did not answer the question.
+    /// A server's load report, or `None` if the server did not reply to the request for the report.
     Load {
         /// Name of the server.
         server: Arc<str>,
-        /// The report.
+        /// The load report.
         load: Option<target::Load>,
     },
-    /// A new view is in force.
+    /// The control machine published a new view.
     View(Arc<View>),
-    /// The process was suspended for about this long.
+    /// The process was paused for about this long.
     Paused(Duration),
-    /// Refuse new work; finish what is open.
+    /// Refuse new work and finish the open portions.
     Drain,
-    /// The time asked for by `Machine::next_wake` has come.
+    /// The time requested by `Machine::next_wake` has been reached.
     Tick,
 }
 
-/// What the machine asks for.
+/// An action that the leaf machine requests from the shell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Open a connection.
+    /// Open a pooled connection to a server.
     Open {
-        /// Its key in later events.
+        /// Key that later events name the connection by.
         lane: LaneKey,
-        /// IP number and port of the server.
+        /// IP address and port of the server.
         address: Arc<str>,
         /// Name of the server.
         server: Arc<str>,
     },
-    /// Close a connection, also one whose call is given up; no further event names it or the call.
+    /// Close a pooled connection, also one that carries an abandoned call. No further event names
+    /// the connection or the call.
     Close(LaneKey),
-    /// Send a request on an idle lane. It must end with [`Event::Ended`], whatever happens.
+    /// Send a request on an idle pooled connection. The call must end with [`Event::Ended`] in
+    /// every case.
     Send {
-        /// The lane, busy until the call ends.
+        /// The pooled connection, busy until the call ends.
         lane: LaneKey,
-        /// The call.
+        /// Key of the call.
         attempt: AttemptKey,
-        /// The request.
+        /// The request to send.
         request: target::Request,
-        /// When to give the call up as lost, counted from now.
+        /// Time from now after which the shell ends the call as lost.
         timeout: Duration,
     },
-    /// Ask a server on an idle lane to cancel a call. The lane stays busy until [`Event::Opened`]
-    /// (done) or [`Event::Closed`] names it.
+    /// Ask a server to cancel a call, on an idle pooled connection. The connection stays busy until
+    /// [`Event::Opened`] (done) or [`Event::Closed`] names it.
     Cancel {
-        /// An idle lane to the server.
+        /// An idle pooled connection to the server.
         lane: LaneKey,
         /// The target request's identifier.
         id: String,
     },
-    /// Ask a server for its load report on an idle lane, answered by [`Event::Load`]; the lane stays
-    /// busy until [`Event::Opened`] or [`Event::Closed`] names it.
+    /// Request a server's load report on an idle pooled connection. [`Event::Load`] reports the
+    /// result; the connection stays busy until [`Event::Opened`] or [`Event::Closed`] names it.
     Probe {
-        /// An idle lane to the server.
+        /// An idle pooled connection to the server.
         lane: LaneKey,
         /// Name of the server.
         server: Arc<str>,
     },
-    /// Reply to an entry, which may be of this instance.
+    /// Send a reply to an entry instance, which may be this instance.
     Reply {
-        /// The entry's instance.
+        /// The entry instance of the query.
         to: Peer,
-        /// The reply.
+        /// The reply message.
         reply: wire::Reply,
     },
-    /// Tell an entry that some of the portions that it wants collected are still open.
+    /// Notify an entry instance that some portions that it wants aggregated are still open.
     Pending {
-        /// The entry's instance.
+        /// The entry instance of the query.
         to: Peer,
-        /// Which portions.
+        /// Identifies the open portions.
         pending: wire::Pending,
     },
-    /// Log what was decided for a portion.
+    /// Log the decisions that were made for a portion.
     Log(Box<Trace>),
-    /// Log that a server is held back because of its outcomes, or not any more.
+    /// Log that a server became suspect because of the outcomes of its calls, or is no longer
+    /// suspect.
     Server {
-        /// Its name.
+        /// Name of the server.
         name: Arc<str>,
-        /// Whether it is held back from now on.
+        /// Whether the server is suspect from now on.
         suspect: bool,
-        /// Its failure rate as this instance saw it.
+        /// Failure rate of the server's calls as observed by this instance.
         failure_rate: f64,
     },
-    /// A server ended while requests were there that no server has answered.
+    /// A server process terminated while it was running requests that no server has answered.
     Crashed {
-        /// Its name.
+        /// Name of the server.
         server: Arc<str>,
-        /// The incarnation that ended.
+        /// Incarnation of the server process that terminated.
         incarnation: u64,
-        /// When the first of its calls broke off.
+        /// Time at which the first of the server's calls broke off.
         at: Instant,
-        /// The requests, each once.
+        /// Fingerprints of the requests, without duplicates.
         requests: Vec<Fingerprint>,
     },
-    /// A server has answered after it was said that this incarnation of it had ended.
+    /// A server answered although this incarnation of its process had been reported as terminated.
     Refuted {
-        /// Its name.
+        /// Name of the server.
         server: Arc<str>,
-        /// The incarnation.
+        /// Incarnation of the server process that answered.
         incarnation: u64,
     },
-    /// A request under which servers ended was answered.
+    /// A request that had been running on servers that terminated was answered.
     Cleared(Fingerprint),
-    /// Step a counter.
+    /// Increment a counter.
     Count(Count),
 }
--- a/crates/core/src/leaf/lane.rs
+++ b/crates/core/src/leaf/lane.rs
@@ -1,29 +1,29 @@
-//! Connections to servers.
+//! Pooled connections to servers.
 
 use super::event::AttemptKey;
 use super::server::ServerKey;
 use crate::time::Instant;
 
-/// What a connection is doing.
+/// State of a pooled connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Asked for.
+    /// The connection was requested and is not established yet.
     Opening,
-    /// Connected, without a request.
+    /// The connection is established and carries no request.
     Idle,
-    /// Carries a call.
+    /// The connection carries this call.
     Busy(AttemptKey),
-    /// Carries a cancellation or a question for a load report.
+    /// The connection carries a cancellation or a load report request.
     Control,
 }
 
-/// A connection to a server.
+/// A pooled connection to a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lane {
     pub(super) server: ServerKey,
     pub(super) state: State,
-    /// The server ends it after the call at hand.
+    /// Whether the server closes the connection after the current call.
     pub(super) closing: bool,
-    /// When it was asked for, and from when it is open, when it was opened.
+    /// Time at which the connection was opened; until then, time at which it was requested.
     pub(super) since: Instant,
 }
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -1,4 +1,5 @@
-//! Connections: opened ahead, never beyond the share, closed when no longer wanted.
+//! Pooled connections to servers: opened ahead of work, never more than the connection share,
+//! closed when no longer needed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,32 +11,37 @@
 use super::service::{Rank, ServiceId};
 use super::timer::Timer;
 
-/// Connections beyond the slots, so that a cancellation or a question for a load report finds an
-/// idle one while all slots are busy and another is being reopened.
-const SPARE: usize = 2;
-/// Pauses before a connection is opened again.
-const REOPEN: Duration = Duration::from_millis(50);
-const LONGEST_REOPEN: Duration = Duration::from_secs(5);
-/// Longest pause while the server's service is asked for. Few are, and callers wait for them: after a loss
-/// of all instances servers go on counting the connections of the dead, and whoever is asked for their
-/// parts has paused ever longer when they take new ones again.
-const LONGEST_WANTED: Duration = Duration::from_secs(1);
-/// How long an instance that is not the owner keeps the connections that work made it open.
-const KEEP: Duration = Duration::from_secs(5);
+/// Connections kept in addition to a server's slots, so that a cancellation or a load report
+/// request finds an idle connection while all slots are busy and another connection is being
+/// reopened.
+const SPARE_CONNECTIONS: usize = 2;
+/// Delay before a connection is opened again after the first failure.
+const MIN_REOPEN_DELAY: Duration = Duration::from_millis(50);
+const MAX_REOPEN_DELAY: Duration = Duration::from_secs(5);
+/// Longest delay before a connection is opened again while the server's service receives work. Few
+/// services do, and callers wait for their answers. After a loss of all instances the servers go on
+/// counting the connections of the lost instances and refuse new ones; with the delay growing
+/// further, the instance that was asked for these servers' portions noticed late that the servers
+/// accept connections again.
+const MAX_REOPEN_DELAY_WITH_DEMAND: Duration = Duration::from_secs(1);
+/// Time for which an instance other than the owner keeps connections that it opened because of
+/// work.
+const KEEP_AFTER_WORK: Duration = Duration::from_secs(5);
 
 impl Machine {
-    /// A connection is ready, or its cancellation or load report is done.
+    /// Handles an established connection, or a completed cancellation or load report request on
+    /// one.
     pub(super) fn opened(&mut self, key: LaneKey, out: &mut Vec<Action>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
-        let opening = lane.state == State::Opening;
-        if !opening && lane.state != State::Control {
+        let was_opening = lane.state == State::Opening;
+        if !was_opening && lane.state != State::Control {
             return;
         }
         lane.state = State::Idle;
         let server = lane.server;
-        if opening {
+        if was_opening {
             lane.since = self.now;
             self.servers[server].open_failures = 0;
             self.server_listens(server);
@@ -43,7 +49,8 @@
         self.idle(key, out);
     }
 
-    /// A connection failed or could not be opened.
+    /// Handles a connection that failed or could not be opened, and schedules the next attempt with
+    /// a growing delay.
     pub(super) fn closed(&mut self, key: LaneKey, out: &mut Vec<Action>) {
         let Some(lane) = self.lanes.get(key).copied() else {
             return;
@@ -59,20 +66,21 @@
         }
         let exponent = server.open_failures.saturating_sub(1).min(8);
         let service = server.service;
-        let longest = match self.services[service].is_wanted(self.now) {
-            true => LONGEST_WANTED,
-            false => LONGEST_REOPEN,
+        let max_delay = match self.services[service].has_demand(self.now) {
+            true => MAX_REOPEN_DELAY_WITH_DEMAND,
+            false => MAX_REOPEN_DELAY,
         };
-        let pause = REOPEN.saturating_mul(1 << exponent).min(longest);
-        server.reopen_at = self.now + self.random.jitter(pause);
+        let delay = MIN_REOPEN_DELAY.saturating_mul(1 << exponent).min(max_delay);
+        server.reopen_at = self.now + self.random.jitter(delay);
         let at = server.reopen_at;
         self.pump_at(service, at);
         self.recheck(service, out);
         self.mark(service);
     }
 
-    /// A pause of one of the service's servers has ended.
-    pub(super) fn resume(&mut self, id: ServiceId, out: &mut Vec<Action>) {
+    /// Processes the service's connections and queue after a back-off of one of its servers has
+    /// ended.
+    pub(super) fn resume_service(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         if !self.services.contains_key(id) {
             return;
         }
@@ -80,23 +88,25 @@
         self.mark(id);
     }
 
-    /// Uses a connection that has become idle, or closes it when it is one too many.
+    /// Uses a connection that has become idle, or closes it if the server has more connections than
+    /// needed.
     pub(super) fn idle(&mut self, key: LaneKey, out: &mut Vec<Action>) {
         let server = self.lanes[key].server;
-        self.send_cancels(server, out);
+        self.send_queued_cancels(server, out);
         self.maintain_server(server, out);
         let service = self.servers[server].service;
         self.mark(service);
     }
 
-    /// Cancels calls that are no longer wanted, as far as there are idle connections.
-    pub(super) fn send_cancels(&mut self, key: ServerKey, out: &mut Vec<Action>) {
+    /// Sends cancellations for calls that are no longer needed, as long as idle connections are
+    /// available.
+    pub(super) fn send_queued_cancels(&mut self, key: ServerKey, out: &mut Vec<Action>) {
         while let Some(attempt) = self.servers[key].cancels.front().copied() {
-            let Some(open) = self.attempts.get(attempt) else {
+            let Some(call) = self.attempts.get(attempt) else {
                 self.servers[key].cancels.pop_front();
                 continue;
             };
-            let id = open.id.clone();
+            let id = call.id.clone();
             let Some(lane) = self.idle_lane(key) else {
                 return;
             };
@@ -106,7 +116,7 @@
         }
     }
 
-    /// Opens and closes connections of a service's servers.
+    /// Opens and closes connections of a service's servers until each has the target number.
     pub(super) fn maintain(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         for index in 0..self.services[id].servers.len() {
             let server = self.services[id].servers[index];
@@ -115,82 +125,87 @@
     }
 
     pub(super) fn maintain_server(&mut self, key: ServerKey, out: &mut Vec<Action>) {
-        let target = self.wanted_lanes(key);
-        while self.servers[key].lanes.len() > target {
-            let Some(lane) = self.closable_lane(key) else {
+        let desired = self.target_connections(key);
+        while self.servers[key].lanes.len() > desired {
+            let Some(lane) = self.closable_connection(key) else {
                 break;
             };
             self.remove_lane(lane);
             out.push(Action::Close(lane));
         }
-        while self.servers[key].lanes.len() < target && self.may_open(key) {
-            self.open_lane(key, out);
+        while self.servers[key].lanes.len() < desired && self.may_open_connection(key) {
+            self.open_connection(key, out);
         }
     }
 
-    /// Connections that the server should have now; at most the share.
+    /// Number of connections that the server should have now; at most the connection share.
     ///
-    /// The owner keeps slots and spare ones warm, since a new connection costs milliseconds. The
-    /// next candidate keeps one, the others none, until they get work themselves.
-    fn wanted_lanes(&self, key: ServerKey) -> usize {
+    /// The owner keeps connections for all slots and the spare ones open, because opening a
+    /// connection costs milliseconds. The first fallback owner keeps one connection and the other
+    /// candidates none, until they receive work themselves.
+    fn target_connections(&self, key: ServerKey) -> usize {
         let server = &self.servers[key];
         if !server.accepts() {
             return 0;
         }
         let service = &self.services[server.service];
         let idle_since = self.now.since(service.last_work);
-        let worked = service.last_work != Default::default() && idle_since < KEEP;
-        let busy = !service.queue.is_empty() || worked;
-        let full = server.slots as usize + SPARE;
-        let warm = match service.rank {
-            Rank::Owner if self.settings.by_need => self.needed_lanes(key).min(full),
-            Rank::Owner => full,
-            Rank::Next | Rank::Spare if busy => full,
+        let worked_recently =
+            service.last_work != Default::default() && idle_since < KEEP_AFTER_WORK;
+        let has_work = !service.queue.is_empty() || worked_recently;
+        let all_slots = server.slots as usize + SPARE_CONNECTIONS;
+        let by_rank = match service.rank {
+            Rank::Owner if self.settings.by_need => self.connections_by_need(key).min(all_slots),
+            Rank::Owner => all_slots,
+            Rank::Next | Rank::Spare if has_work => all_slots,
             Rank::Next => 1,
             Rank::Spare | Rank::None => 0,
         };
         let wanted = match self.settings.queueing {
-            true => warm,
-            false => warm.max(self.lanes_for_all(key)),
+            true => by_rank,
+            false => by_rank.max(self.connections_for_queued_work(key)),
         };
         wanted.min(server.share as usize)
     }
 
-    /// Connections that the work of the last seconds needed at once; one at least where there are enough
-    /// for every instance. Where there are not, one that is kept without work is missing elsewhere.
+    /// Number of concurrent connections to a server that the work of the last seconds needed; at
+    /// least one where the servers accept enough connections for every instance. Where they don't,
+    /// a connection kept without work is missing at another instance.
     ///
-    /// A server that could not be reached is tried on while its service is asked for, until it can be. While
-    /// none of a service's servers can, work is refused before it waits here: with nothing waiting no
-    /// connection would be opened, and the refusals would never end.
-    fn needed_lanes(&self, key: ServerKey) -> usize {
+    /// While the service receives work, one connection to a server that could not be reached is
+    /// attempted until one succeeds. As long as none of a service's servers can be reached, work is
+    /// refused before it is queued: without this rule an empty queue would never cause a connection
+    /// to be opened, and the refusals would never end.
+    fn connections_by_need(&self, key: ServerKey) -> usize {
         let server = &self.servers[key];
         let service = &self.services[server.service];
-        let waiting = service.queue.len().div_ceil(service.servers.len().max(1));
-        let now = server.in_flight as usize + waiting;
-        let tried_on = service.is_wanted(self.now) && server.open_failures > 0;
-        let least = service.spare || tried_on;
-        now.max(service.peak.get(self.now)).max(usize::from(least))
+        let queued_per_server = service.queue.len().div_ceil(service.servers.len().max(1));
+        let in_use = server.in_flight as usize + queued_per_server;
+        let keeps_trying = service.has_demand(self.now) && server.open_failures > 0;
+        let keep_one = service.spare || keeps_trying;
+        in_use.max(service.peak.get(self.now)).max(usize::from(keep_one))
     }
 
-    /// Connections for everything that waits, without regard to slots.
-    fn lanes_for_all(&self, key: ServerKey) -> usize {
+    /// Number of connections needed to send all queued work at once, without regard to slots.
+    fn connections_for_queued_work(&self, key: ServerKey) -> usize {
         let server = &self.servers[key];
-        let waiting = self.services[server.service].queue.len();
-        let demand = server.in_flight as usize + waiting;
+        let queued = self.services[server.service].queue.len();
+        let demand = server.in_flight as usize + queued;
         demand.max(server.lanes.len())
     }
 
-    /// While connections fail to open, one at a time is tried.
-    fn may_open(&self, key: ServerKey) -> bool {
+    /// Whether a connection to the server may be opened now. After a failure to open one, only one
+    /// connection at a time is attempted.
+    fn may_open_connection(&self, key: ServerKey) -> bool {
         let server = &self.servers[key];
         if server.open_failures == 0 {
             return self.now >= server.reopen_at;
         }
-        let opening = |lane: &LaneKey| self.lanes[*lane].state == State::Opening;
-        self.now >= server.reopen_at && !server.lanes.iter().any(opening)
+        let is_opening = |lane: &LaneKey| self.lanes[*lane].state == State::Opening;
+        self.now >= server.reopen_at && !server.lanes.iter().any(is_opening)
     }
 
-    fn open_lane(&mut self, key: ServerKey, out: &mut Vec<Action>) {
+    fn open_connection(&mut self, key: ServerKey, out: &mut Vec<Action>) {
         let lane = Lane { server: key, state: State::Opening, closing: false, since: self.now };
         let lane = self.lanes.insert(lane);
         let server = &mut self.servers[key];
@@ -199,10 +214,11 @@
         out.push(Action::Open { lane, address: Arc::clone(&server.address), server: name });
     }
 
-    /// A connection that can be closed without cutting a call.
-    fn closable_lane(&self, key: ServerKey) -> Option<LaneKey> {
-        let free = |lane: &LaneKey| matches!(self.lanes[*lane].state, State::Idle | State::Opening);
-        self.servers[key].lanes.iter().copied().rev().find(free)
+    /// An idle or opening connection to the server: closing it interrupts no call.
+    fn closable_connection(&self, key: ServerKey) -> Option<LaneKey> {
+        let is_closable =
+            |lane: &LaneKey| matches!(self.lanes[*lane].state, State::Idle | State::Opening);
+        self.servers[key].lanes.iter().copied().rev().find(is_closable)
     }
 
     pub(super) fn remove_lane(&mut self, key: LaneKey) {
@@ -212,7 +228,7 @@
         self.servers[lane.server].lanes.retain(|other| *other != key);
     }
 
-    /// Periodic work on a service.
+    /// Periodic maintenance of a service: expiry of old records, connections, load report requests.
     pub(super) fn upkeep(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         if !self.services.contains_key(id) {
             return;
@@ -227,8 +243,9 @@
         }
     }
 
-    /// Asks servers for their load reports, each at most once a second and one question at a time.
-    /// A server that does not answer would otherwise occupy one connection after the other.
+    /// Requests load reports from the service's servers, at most once a second and with one open
+    /// request per server. A server that does not reply would otherwise occupy one connection after
+    /// the other.
     fn probe(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         if !self.settings.probing {
             return;
@@ -237,8 +254,8 @@
             let key = self.services[id].servers[index];
             let server = &self.servers[key];
             let lane = server.probe_lane.and_then(|lane| self.lanes.get(lane));
-            let open = lane.is_some_and(|lane| lane.state == State::Control);
-            if open || !server.accepts() || self.now < server.probe_at {
+            let probe_is_open = lane.is_some_and(|lane| lane.state == State::Control);
+            if probe_is_open || !server.accepts() || self.now < server.probe_at {
                 continue;
             }
             let name = Arc::clone(&server.name);
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -1,4 +1,4 @@
-//! The machine: its state and the dispatch of events.
+//! State of the leaf machine and the dispatch of incoming events to their handlers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,10 +27,10 @@
 use crate::view::View;
 use ladder_schema::outcome::Reason;
 
-/// Between two rounds of periodic work on a service.
+/// Interval between two rounds of periodic maintenance of a service.
 pub(super) const UPKEEP: Duration = Duration::from_secs(1);
 
-/// One delivery of one portion.
+/// Identity of one delivery of one portion, for dropping duplicate deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Delivery {
     pub(super) from: Arc<str>,
@@ -40,11 +40,12 @@
     pub(super) service: String,
 }
 
-/// A query of one entry.
+/// Identity of a query: its entry instance, that instance's incarnation and the query's number.
 ///
-/// The entry's name belongs to it: entries that start in the same microsecond, as after a loss of
-/// power or under a stopped clock, have equal incarnations and count their queries alike. Without
-/// the name, what one of them gave up was refused to the other.
+/// The entry instance's name is part of the identity because incarnations are start times in
+/// microseconds: instances that start in the same microsecond, as after a power loss or with a
+/// stopped clock, have equal incarnations and number their queries alike. Without the name, a query
+/// cancelled by one of these instances would be refused to the other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Query {
     pub(super) from: Arc<str>,
@@ -52,61 +53,65 @@
     pub(super) number: u64,
 }
 
-/// A suspension of the process that has just ended.
+/// The most recent pause of the process: when the pause ended and how long it lasted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Gap {
     pub(super) ended: Instant,
     pub(super) length: Duration,
 }
 
-/// Owns services: for each one queue, its servers' slots and connections, hedges and retries.
+/// State machine that owns services: for each service it keeps the queue, the slots and pooled
+/// connections of the servers, hedges and retries.
 ///
 /// Every portion of [`Event::Work`] gets exactly one [`Action::Reply`], before its budget ends.
 #[derive(Debug)]
 pub struct Machine {
     pub(super) settings: Settings,
-    /// Time of the event at hand; never goes back.
+    /// Time of the event being handled; never decreases.
     pub(super) now: Instant,
     pub(super) view: Arc<View>,
     pub(super) services: SlotMap<ServiceId, Service>,
-    /// Invariant: holds exactly the keys of `services`.
+    /// Keys of the services by name. Invariant: contains exactly the keys of `services`.
     pub(super) service_ids: Map<Arc<str>, ServiceId>,
     pub(super) servers: SlotMap<ServerKey, Server>,
-    /// Keys of the listed servers by name.
+    /// Keys of the servers in the current view, by server name.
     pub(super) server_keys: Map<Arc<str>, ServerKey>,
     pub(super) lanes: SlotMap<LaneKey, Lane>,
     pub(super) portions: SlotMap<PortionKey, Portion>,
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
-    /// Portions not replied to by query.
+    /// Portions without a reply yet, by query.
     pub(super) queries: Map<Query, Vec<PortionKey>>,
     pub(super) deliveries: Recent<Delivery>,
-    /// Queries given up by their entry.
+    /// Queries that their entry instance cancelled.
     ///
-    /// A cancellation may overtake the work that it cancels. The entry then holds the query closed
-    /// while the work would still run; the tombstone refuses it.
+    /// A cancellation may overtake the work that it cancels. The entry then considers the query
+    /// closed, while the work that arrives later would still run; this tombstone makes the machine
+    /// refuse that work.
     pub(super) cancelled: Recent<Query>,
     pub(super) records: Records,
-    /// Call times by kind of work over all services: what a service that is new here starts with.
+    /// Call times by kind of work over all services: the initial estimate for a service that this
+    /// instance has no samples of yet.
     pub(super) kinds: Kinds,
     pub(super) collections: SlotMap<CollectionKey, Collection>,
     pub(super) siblings: SlotMap<SiblingsKey, Siblings>,
     pub(super) crashes: Crashes,
-    /// Among whom the requests of servers that warm up are divided.
+    /// Instances among which the request rate of servers in warm-up is divided.
     pub(super) fleet: Fleet,
     pub(super) timers: Timers,
     pub(super) random: Random,
-    /// Number of the last target request.
+    /// Number of the most recent target request.
     pub(super) sequence: u64,
     pub(super) draining: bool,
     pub(super) gap: Option<Gap>,
-    /// Services whose queue or servers changed in the event at hand.
+    /// Services whose queue or servers changed while the current event was handled.
     ///
-    /// Invariant: holds exactly those whose `marked` is set, and some that are gone.
+    /// Invariant: contains every service whose `marked` flag is set, and possibly services that
+    /// have been removed.
     pub(super) marked: Vec<ServiceId>,
 }
 
 impl Machine {
-    /// A machine that knows of no service yet.
+    /// Creates a machine without services.
     pub fn new(settings: Settings) -> Self {
         Self {
             now: Instant::default(),
@@ -137,30 +142,30 @@
         }
     }
 
-    /// Takes an event in and appends what is to be done to `out`.
+    /// Handles an event at time `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        let resumed = matches!(event, Event::Paused(_));
-        if !resumed {
-            self.fire(out);
+        let is_resume = matches!(event, Event::Paused(_));
+        if !is_resume {
+            self.run_due_timers(out);
         }
-        self.take(event, out);
-        self.fire(out);
+        self.dispatch_event(event, out);
+        self.run_due_timers(out);
         self.pump_marked(out);
         self.drop_stale_timers();
     }
 
-    /// When [`Event::Tick`] is wanted at the latest.
+    /// Latest time at which the machine needs the next [`Event::Tick`]; `None` if no timer is set.
     pub fn next_wake(&self) -> Option<Instant> {
         self.timers.peek().map(|(at, _)| at)
     }
 
-    /// Portions that have not been replied to.
+    /// Number of portions without a reply yet.
     pub fn open(&self) -> usize {
         self.portions.len()
     }
 
-    fn take(&mut self, event: Event, out: &mut Vec<Action>) {
+    fn dispatch_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Work { from, incarnation, work } => self.work(from, incarnation, work, out),
             Event::Cancel { from, cancel } => self.cancel(from, &cancel, out),
@@ -176,8 +181,8 @@
         }
     }
 
-    /// Does what is due.
-    fn fire(&mut self, out: &mut Vec<Action>) {
+    /// Runs the handlers of all timers that are due.
+    fn run_due_timers(&mut self, out: &mut Vec<Action>) {
         while let Some((at, timer)) = self.timers.peek() {
             if at > self.now {
                 break;
@@ -187,7 +192,7 @@
                 Timer::Deadline(portion) => self.deadline(portion, out),
                 Timer::Late(portion) => self.late(portion, out),
                 Timer::Hedge(portion) => self.hedge_due(portion),
-                Timer::Pump(service) => self.resume(service, out),
+                Timer::Pump(service) => self.resume_service(service, out),
                 Timer::Upkeep(service) => self.upkeep(service, out),
                 Timer::Abandon(attempt) => self.abandon(attempt, out),
                 Timer::Collection(key) => self.collection_due(key, out),
@@ -195,10 +200,11 @@
         }
     }
 
-    /// Keeps `next_wake` from asking for ticks on behalf of closed portions.
+    /// Removes timers of closed portions and ended calls from the top of the heap, so that
+    /// `next_wake` doesn't request ticks for them.
     fn drop_stale_timers(&mut self) {
         while let Some((_, timer)) = self.timers.peek() {
-            let stale = match timer {
+            let is_stale = match timer {
                 Timer::Deadline(portion) => !self.portions.contains_key(portion),
                 Timer::Late(portion) => !self.waits(portion),
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
@@ -208,20 +214,21 @@
                     !self.services.contains_key(service)
                 }
             };
-            if !stale {
+            if !is_stale {
                 break;
             }
             self.timers.pop();
         }
     }
 
-    /// Notes that a service's queue or servers changed.
+    /// Marks a service whose queue or servers changed, so that its queue is processed at the end of
+    /// the event.
     pub(super) fn mark(&mut self, service: ServiceId) {
-        let Some(found) = self.services.get_mut(service) else {
+        let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        if !found.marked {
-            found.marked = true;
+        if !entry.marked {
+            entry.marked = true;
             self.marked.push(service);
         }
     }
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -1,4 +1,4 @@
-//! A portion of a query: the shards of one service, from its arrival to its reply.
+//! A portion of a query: the shards of one service, from arrival to reply.
 
 use std::sync::Arc;
 
@@ -22,31 +22,33 @@
 use crate::view::Peer;
 
 new_key_type! {
-    /// A portion that has not been replied to.
+    /// Key of a portion without a reply yet.
     pub(super) struct PortionKey;
 }
 
-/// What all portions of one message of work share.
+/// State that all portions of one work message share.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
-    /// The entry's instance.
+    /// The entry instance of the query.
     pub(super) from: Peer,
-    /// Incarnation of the entry's instance.
+    /// Incarnation of the entry instance.
     pub(super) incarnation: u64,
     /// The caller's request key.
     pub(super) key: Arc<str>,
-    /// What is asked and by whom; `None` when the entry does not tell.
+    /// Fingerprint of the request's content and caller; `None` if the entry instance did not send
+    /// one.
     pub(super) fingerprint: Option<Fingerprint>,
-    /// The work without its portions.
+    /// The work message without its portions.
     pub(super) work: wire::Work,
-    /// What its replies are collected in.
+    /// Partial aggregation that gathers the replies; `None` if the entry wants each reply on its
+    /// own.
     pub(super) collection: Option<CollectionKey>,
-    /// What its parts are compared in.
+    /// Group in which the progress of the sweep's portions is compared.
     pub(super) siblings: Option<SiblingsKey>,
 }
 
 impl Job {
-    /// The query that the work belongs to.
+    /// Identity of the query that the work belongs to.
     pub(super) fn query(&self) -> Query {
         Query {
             from: Arc::clone(&self.from.name),
@@ -56,56 +58,57 @@
     }
 }
 
-/// A portion that has not been replied to.
+/// A portion without a reply yet.
 #[derive(Clone, Debug)]
 pub(super) struct Portion {
-    /// What it shares with the other portions of the message.
+    /// State shared with the other portions of the same work message.
     pub(super) job: Arc<Job>,
-    /// Its service.
+    /// Service that runs the portion.
     pub(super) service: ServiceId,
-    /// A server may have got it already through another instance.
+    /// Whether a server may have received the portion already through another instance.
     pub(super) repeated: bool,
-    /// Servers that it may run on; `None`: any.
+    /// Servers that the portion may run on; `None`: any server of the service.
     pub(super) eligible: Option<Arc<[Mark]>>,
-    /// The shards asked for.
+    /// Shards requested from the service.
     pub(super) shards: Arc<[String]>,
-    /// When it arrived.
+    /// Time at which the portion arrived.
     pub(super) arrived: Instant,
-    /// When it must have been replied to.
+    /// Time by which the portion must have a reply.
     pub(super) deadline: Instant,
-    /// Its place in the queue.
+    /// The portion's position in the queue.
     ///
-    /// Invariant: `Some` exactly while the queue of its service holds it, and then `attempts` is
-    /// empty.
+    /// Invariant: `Some` exactly while the queue of the service contains the portion, and then
+    /// `attempts` is empty.
     pub(super) place: Option<queue::Place>,
-    /// It may be sent again only on proof that it did not run.
+    /// Whether the portion is non-idempotent: it may be sent again only on proof that it did not
+    /// run.
     pub(super) unrepeatable: bool,
-    /// Its urgency class.
+    /// Urgency class of the portion.
     pub(super) class: queue::Class,
-    /// Its kind of work.
+    /// Kind of work of the portion, for call time estimates.
     pub(super) kind: Kind,
-    /// When its answer must be there to be worth its full price.
+    /// Time by which the answer must be at the entry to have its full value.
     pub(super) timely_at: Option<Instant>,
-    /// Open calls.
+    /// Open calls of the portion.
     pub(super) attempts: Vec<AttemptKey>,
-    /// Servers it was sent to, for choosing another one.
+    /// Servers that the portion was sent to, so that a retry selects another one.
     pub(super) tried: Vec<ServerKey>,
-    /// Calls with what they were decided on, oldest first.
+    /// Calls of the portion with the inputs of each decision, oldest first.
     pub(super) trials: Vec<Trial>,
-    /// Calls made at targets.
+    /// Number of calls made to targets for the portion.
     pub(super) calls: u32,
-    /// Calls that ended without an answer.
+    /// Number of the portion's calls that ended without an answer.
     pub(super) failures: u32,
-    /// Calls that are proved not to have run.
+    /// Number of the portion's calls that are proved not to have run.
     pub(super) spared: u32,
-    /// A call ended without proof that it did not run.
+    /// Whether one of the portion's calls ended without proof that it did not run.
     pub(super) may_have_run: bool,
-    /// A second copy was sent.
+    /// Whether a hedged call was sent for the portion.
     pub(super) hedged: bool,
 }
 
 impl Portion {
-    /// What can be said of it while no call is open.
+    /// Verdict on the portion while none of its calls is open.
     pub(super) fn verdict(&self) -> Verdict {
         match self.may_have_run {
             true => Verdict::MayHaveRun,
@@ -113,13 +116,13 @@
         }
     }
 
-    /// Whether its route allows one more server to be asked.
+    /// Whether the attempt limit of the portion's route allows one more call.
     pub(super) fn may_go_out(&self) -> bool {
         let forward = self.job.work.forward.as_ref();
         forward.is_none_or(|forward| self.calls - self.spared < forward.attempts)
     }
 
-    /// Name of its record.
+    /// Name under which the outcome of the portion is recorded.
     pub(super) fn record(&self) -> record::Name {
         record::Name { service: self.service, key: Arc::clone(&self.job.key) }
     }
--- a/crates/core/src/leaf/queue.rs
+++ b/crates/core/src/leaf/queue.rs
@@ -1,5 +1,5 @@
-//! Waiting portions of one service: urgency classes, within a class the order of arrival put off by
-//! a part of the time that the portion has.
+//! Queue of one service's waiting portions: urgency classes, and within a class the order of
+//! arrival, each portion deferred by a fraction of its time to the deadline.
 
 use std::collections::BTreeMap;
 
@@ -8,38 +8,42 @@
 use super::portion::PortionKey;
 use crate::time::Instant;
 
-/// Urgency classes.
+/// Number of urgency classes.
 pub(super) const CLASSES: usize = 4;
 
-/// Dispatches in a row that may pass over a waiting lower class.
+/// Number of consecutive dispatches that may pass over a waiting lower class.
 ///
 /// Without this bound a steady stream of urgent work would leave ordinary work waiting until its
-/// deadline. With it a lower class that waits gets at least every eighth dispatch.
-const PASSES: u32 = 7;
+/// deadline. With the bound a lower class with waiting work gets at least every eighth dispatch.
+const MAX_CONSECUTIVE_PASSES: u32 = 7;
 
-/// Part of the time between arrival and deadline by which a portion's turn is put off.
+/// Fraction of the time between arrival and deadline by which a portion is deferred in the order of
+/// its class.
 ///
-/// With the deadline itself as the turn, work that has a second more than the rest of its class
-/// would wait for all that arrives in that second: longer than in order of arrival by far. With
-/// the arrival as the turn, short deadlines would be missed behind a long queue.
-const PUT_OFF: f64 = 0.02;
-
-/// When a portion's turn is, compared with others of its class.
+/// If portions were ordered by deadline alone, a portion with one second more time than the rest of
+/// its class would wait for all work that arrives in that second: much longer than in order of
+/// arrival. If portions were ordered by arrival alone, those with short deadlines would miss them
+/// behind a long queue.
+const DEFERRAL: f64 = 0.02;
+
+/// Key by which a portion is ordered within its urgency class: arrival time plus a fraction
+/// ([`DEFERRAL`]) of the time to the deadline.
 pub(super) fn turn(arrived: Instant, deadline: Instant) -> Instant {
-    arrived + deadline.since(arrived).mul_f64(PUT_OFF)
+    arrived + deadline.since(arrived).mul_f64(DEFERRAL)
 }
 
-/// An urgency class; zero goes first.
+/// An urgency class; class 0 is dispatched first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Class(usize);
 
 impl Class {
-    /// Work whose answer has a time by which it must be there, earliest first.
+    /// Class of work whose answer is due by a set time, earliest first.
     pub(super) const TIMED: Self = Self(1);
-    /// Work that can't be there in time any more: it waits for idle servers.
+    /// Class of work that can no longer be answered in time: it is dispatched only when servers are
+    /// idle.
     pub(super) const LATE: Self = Self(3);
 
-    /// Its place in an array over all classes.
+    /// Index of the class in an array over all classes.
     pub(super) fn place(self) -> usize {
         self.0
     }
@@ -55,7 +59,7 @@
     }
 }
 
-/// Place of a portion in a queue.
+/// Position of a portion in a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Place {
     class: Class,
@@ -64,23 +68,23 @@
 }
 
 impl Place {
-    /// Whether it is behind all that can be in time.
+    /// Whether the portion is queued behind all work that can still be answered in time.
     pub(super) fn is_late(&self) -> bool {
         self.class == Class::LATE
     }
 }
 
-/// Waiting portions of one service.
+/// Queue of the waiting portions of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    /// Earliest turn first, then order of arrival.
+    /// Waiting portions of each class by turn (see [`turn`]), then by order of arrival.
     classes: [BTreeMap<(Instant, u64), PortionKey>; CLASSES],
-    /// Grows with every portion.
+    /// Number of portions queued so far.
     sequence: u64,
-    /// Dispatches in a row that passed over a waiting lower class.
-    passes: u32,
-    /// The lower class whose turn it was last.
-    turn: usize,
+    /// Number of consecutive dispatches that passed over a waiting lower class.
+    consecutive_passes: u32,
+    /// The lower class that was last dispatched ahead of a higher one.
+    last_lower_class: usize,
 }
 
 impl Queue {
@@ -92,7 +96,7 @@
         self.classes.iter().all(BTreeMap::is_empty)
     }
 
-    /// Portions that go before a new one of this class.
+    /// Number of portions that are dispatched before a new one of this class.
     pub(super) fn ahead(&self, class: Class) -> usize {
         self.classes[..=class.0].iter().map(BTreeMap::len).sum()
     }
@@ -108,49 +112,51 @@
         self.classes[place.class.0].remove(&(place.turn, place.sequence));
     }
 
-    /// The waiting portion of a class that goes first.
+    /// The waiting portion of a class that is dispatched first.
     pub(super) fn head(&self, class: Class) -> Option<PortionKey> {
         self.classes[class.0].values().next().copied()
     }
 
     /// Portions in the order in which they would be dispatched now.
     pub(super) fn order(&self) -> impl Iterator<Item = PortionKey> + '_ {
-        let first = self.first_class();
-        let rest = (0..CLASSES).filter(move |class| *class != first);
-        std::iter::once(first).chain(rest).flat_map(|class| self.classes[class].values().copied())
+        let first = self.next_class();
+        let other_classes = (0..CLASSES).filter(move |class| *class != first);
+        std::iter::once(first)
+            .chain(other_classes)
+            .flat_map(|class| self.classes[class].values().copied())
     }
 
-    /// Removes a portion that is dispatched and keeps account of the classes passed over.
+    /// Removes a dispatched portion and counts the dispatches that passed over a lower class.
     pub(super) fn dispatch(&mut self, place: Place) {
         let class = place.class.0;
-        let highest = self.waiting(0).unwrap_or(class);
-        let lower_waits = self.waiting(class + 1).is_some();
+        let highest = self.first_waiting(0).unwrap_or(class);
+        let lower_is_waiting = self.first_waiting(class + 1).is_some();
         self.remove(place);
         if class > highest {
-            self.turn = class;
-            self.passes = 0;
-        } else if lower_waits {
-            self.passes += 1;
+            self.last_lower_class = class;
+            self.consecutive_passes = 0;
+        } else if lower_is_waiting {
+            self.consecutive_passes += 1;
         } else {
-            self.passes = 0;
+            self.consecutive_passes = 0;
         }
     }
 
-    /// The class whose head goes next.
-    fn first_class(&self) -> usize {
-        let Some(highest) = self.waiting(0) else {
+    /// The class whose first portion is dispatched next.
+    fn next_class(&self) -> usize {
+        let Some(highest) = self.first_waiting(0) else {
             return Class::LATE.0;
         };
-        if self.passes < PASSES {
+        if self.consecutive_passes < MAX_CONSECUTIVE_PASSES {
             return highest;
         }
-        let after_turn = self.waiting(self.turn.max(highest) + 1);
-        let lower = after_turn.or_else(|| self.waiting(highest + 1));
+        let after_last = self.first_waiting(self.last_lower_class.max(highest) + 1);
+        let lower = after_last.or_else(|| self.first_waiting(highest + 1));
         lower.unwrap_or(highest)
     }
 
-    /// The first class from `from` on that has waiting portions.
-    fn waiting(&self, from: usize) -> Option<usize> {
+    /// The first class from index `from` on that has waiting portions, the late class excluded.
+    fn first_waiting(&self, from: usize) -> Option<usize> {
         (from..Class::LATE.0).find(|class| !self.classes[*class].is_empty())
     }
 }
--- a/crates/core/src/leaf/record.rs
+++ b/crates/core/src/leaf/record.rs
@@ -1,4 +1,4 @@
-//! What became of unrepeatable requests, by service and request key.
+//! Outcomes of non-idempotent requests, by service and request key.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,27 +8,28 @@
 use crate::collections::Map;
 use crate::time::Instant;
 
-/// Most records kept; the oldest goes first.
-const RECORDS: usize = 65_536;
-/// How long a record is kept.
-const AGE: Duration = Duration::from_secs(600);
+/// Maximum number of records; the oldest is dropped first.
+const MAX_RECORDS: usize = 65_536;
+/// Time for which a record is kept.
+const MAX_AGE: Duration = Duration::from_secs(600);
 
-/// What is known of an unrepeatable request.
+/// State of a non-idempotent request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Queued or sent.
+    /// The request is queued or was sent.
     Running,
-    /// A target answered.
+    /// A target answered the request.
     Ran,
-    /// Nothing proves either way.
+    /// There is no proof that the request ran or did not run.
     MayHaveRun,
-    /// It did not run here. The entry may have sent it to another instance since.
+    /// The request did not run through this instance. The entry may have sent it to another
+    /// instance since.
     NotRun,
-    /// It did not run, and the entry does not send this attempt again anywhere.
+    /// The request did not run, and the entry does not send this attempt to any instance again.
     Withdrawn,
 }
 
-/// Name of a record.
+/// Key of a record: service and request key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Name {
     pub(super) service: ServiceId,
@@ -40,37 +41,39 @@
     state: State,
     /// The caller's attempt number.
     attempt: u32,
-    /// Number of the record's entry in the order of age.
+    /// Sequence number of the newest element of `order` for this record.
     sequence: u64,
 }
 
-/// What the records say of an arriving unrepeatable request.
+/// Decision on an arriving non-idempotent request, derived from the records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Finding {
-    /// It may run.
+    /// The request may run.
     Free,
-    /// An earlier delivery may have run.
+    /// An earlier delivery of the request may have run.
     Repeated,
-    /// It is a later attempt and nothing here proves that the earlier ones did not run.
+    /// The request is a later attempt of the caller, and no record proves that the earlier attempts
+    /// did not run.
     Unproven,
 }
 
-/// Records of unrepeatable requests, bounded in number and age.
+/// Records of non-idempotent requests, bounded in number and age.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Records {
     records: Map<Name, Record>,
-    /// Names in order of their last change; entries of changed records are stale.
+    /// Record keys in order of their last change. An element whose record has changed since is
+    /// stale.
     order: VecDeque<(Instant, u64, Name)>,
     sequence: u64,
 }
 
 impl Records {
-    /// Whether a request of this attempt number may run.
+    /// Decides whether a request with this attempt number may run.
     ///
-    /// A caller that got no answer asks again through another entry with a higher attempt number.
-    /// A record `NotRun` does not prove that the earlier attempt ran nowhere: after such a reply
-    /// the entry may have sent it to another candidate, where it ran. Only `Withdrawn` of the
-    /// attempt just before is proof.
+    /// A caller that got no answer sends the request again through another entry instance with a
+    /// higher attempt number. A record `NotRun` does not prove that the earlier attempt ran
+    /// nowhere: after such a reply the entry may have sent that attempt to another candidate, where
+    /// it ran. Only `Withdrawn` for the attempt just before is proof.
     pub(super) fn find(&self, name: &Name, attempt: u32) -> Finding {
         let attempt = attempt.max(1);
         let Some(record) = self.records.get(name) else {
@@ -79,11 +82,11 @@
                 _ => Finding::Unproven,
             };
         };
-        let same = attempt == record.attempt;
-        let next = attempt == record.attempt + 1;
+        let is_same_attempt = attempt == record.attempt;
+        let is_next_attempt = attempt == record.attempt + 1;
         match record.state {
-            State::NotRun if same => Finding::Free,
-            State::Withdrawn if same || next => Finding::Free,
+            State::NotRun if is_same_attempt => Finding::Free,
+            State::Withdrawn if is_same_attempt || is_next_attempt => Finding::Free,
             State::NotRun | State::Withdrawn if attempt > record.attempt => Finding::Unproven,
             _ => Finding::Repeated,
         }
@@ -94,7 +97,7 @@
         self.write(now, name, State::Running, attempt.max(1));
     }
 
-    /// Records what became of a request.
+    /// Records the outcome of a request.
     pub(super) fn settle(&mut self, now: Instant, name: &Name, state: State) {
         let Some(record) = self.records.get(name) else {
             return;
@@ -103,10 +106,10 @@
         self.write(now, name.clone(), state, attempt);
     }
 
-    /// Drops what is too old.
+    /// Drops records older than [`MAX_AGE`].
     pub(super) fn expire(&mut self, now: Instant) {
         while let Some((written, ..)) = self.order.front() {
-            if now.since(*written) < AGE {
+            if now.since(*written) < MAX_AGE {
                 break;
             }
             self.drop_oldest();
@@ -119,7 +122,7 @@
         let record = Record { state, attempt, sequence };
         self.order.push_back((now, sequence, name.clone()));
         self.records.insert(name, record);
-        while self.records.len() > RECORDS || self.order.len() > 4 * RECORDS {
+        while self.records.len() > MAX_RECORDS || self.order.len() > 4 * MAX_RECORDS {
             self.drop_oldest();
         }
     }
@@ -128,8 +131,8 @@
         let Some((_, sequence, name)) = self.order.pop_front() else {
             return;
         };
-        let current = self.records.get(&name).is_some_and(|record| record.sequence == sequence);
-        if current {
+        let is_current = self.records.get(&name).is_some_and(|record| record.sequence == sequence);
+        if is_current {
             self.records.remove(&name);
         }
     }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -152,7 +152,7 @@
             return;
         }
         self.servers[server].cancels.push_back(key);
-        self.send_cancels(server, out);
+        self.send_queued_cancels(server, out);
     }
 
     /// Nobody has waited for a call's end for a while: its connection is closed, which is what ends
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -1,4 +1,4 @@
-//! Targets of owned services.
+//! Servers (targets) of the services that this instance is a candidate for.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,60 +19,64 @@
 use crate::view;
 
 new_key_type! {
-    /// A server of an owned service.
+    /// Key of a server of one of the machine's services.
     pub(super) struct ServerKey;
 }
 
-/// Age at which a load report says nothing any more.
-const REPORT_AGE: Duration = Duration::from_secs(5);
-/// How long a refusal for a retired version outweighs what is published.
-const RETIRED_AGE: Duration = Duration::from_secs(5);
+/// Age from which on a load report is ignored.
+const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
+/// Time for which a server's refusal of an index version as retired overrides the published
+/// versions.
+const RETIRED_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// A target.
+/// State of one server (target).
 #[derive(Clone, Debug)]
 pub(super) struct Server {
     pub(super) service: ServiceId,
     pub(super) name: Arc<str>,
     pub(super) address: Arc<str>,
     pub(super) zone: Arc<str>,
-    /// Stands for it in messages between instances.
+    /// Hash of the server's name that identifies the server in messages between instances.
     pub(super) mark: Mark,
-    /// In the view with this address. New work goes to listed servers only.
+    /// Whether the current view contains the server with this address. New work goes to listed
+    /// servers only.
     pub(super) listed: bool,
-    /// Its availability zone is evacuated.
+    /// Whether the server's availability zone is evacuated.
     evacuated: bool,
     pub(super) warmup: Warmup,
-    /// Highest incarnation any source named.
+    /// Highest incarnation of the server that any source reported.
     pub(super) incarnation: u64,
-    /// Highest incarnation that some source called leaving.
+    /// Highest incarnation of the server that some source reported as leaving.
     ///
-    /// Sources lag. Were the latest one to win, a stale list would send new work to a server that
-    /// has said itself that it leaves. Only a newer incarnation lifts it.
+    /// Sources lag behind each other. If the latest message decided, a stale list would send new
+    /// work to a server that has itself reported that it is leaving. Only a newer incarnation
+    /// resets this state.
     leaving: Option<u64>,
     pub(super) slots: u32,
-    /// Invariant: no connection is opened while `lanes` has this many.
+    /// Connection share: number of connections that this instance may have to the server.
+    /// Invariant: no connection is opened while `lanes` contains this many.
     pub(super) share: u32,
     holdings: Vec<Holding>,
-    /// Versions that the server refused as retired, and when.
+    /// Index versions that the server refused as retired, with the time of the refusal.
     retired: Vec<(Holding, Instant)>,
     report: Option<(Instant, target::Load)>,
     pub(super) health: Health,
     pub(super) lanes: Vec<LaneKey>,
-    /// Open calls, also those whose portion was replied to.
+    /// Number of open calls at the server, including calls whose portion already has a reply.
     pub(super) in_flight: u32,
-    /// Connections in a row that could not be opened.
+    /// Number of consecutive failures to open a connection.
     pub(super) open_failures: u32,
-    /// No connection is opened before.
+    /// Time before which no connection to the server is opened.
     pub(super) reopen_at: Instant,
-    /// The next question for a load report.
+    /// Earliest time of the next load report request.
     pub(super) probe_at: Instant,
-    /// The connection of the last question for a load report.
+    /// Connection of the most recent load report request.
     pub(super) probe_lane: Option<LaneKey>,
-    /// Calls to cancel as soon as a lane is idle.
+    /// Calls to cancel as soon as a connection is idle.
     pub(super) cancels: VecDeque<AttemptKey>,
-    /// Calls that broke off lately, each request once, oldest first.
+    /// Requests whose calls broke off recently, each request once, oldest first.
     pub(super) losses: Vec<Loss>,
-    /// What is said of the end of its incarnation.
+    /// Reported termination of a process of this server; `None` if none was reported.
     pub(super) suspicion: Option<Suspicion>,
 }
 
@@ -114,7 +118,8 @@
         server
     }
 
-    /// Takes in what a view says; `warmup` is how long servers of its service may need to warm up.
+    /// Updates the server from a view; `warmup` is the maximum warm-up time of servers of the
+    /// service.
     pub(super) fn list(&mut self, now: Instant, listed: &view::Server, warmup: Duration) {
         self.listed = true;
         self.warmup.publish(now, listed.warmup);
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Takes in a load report; one of an earlier incarnation is dropped.
+    /// Stores a load report; a report of an earlier incarnation is dropped.
     pub(super) fn report(&mut self, now: Instant, load: target::Load) {
         if load.incarnation != 0 && load.incarnation < self.incarnation {
             return;
@@ -143,7 +148,7 @@
         self.report = Some((now, load));
     }
 
-    /// Forgets what was known of an earlier incarnation.
+    /// Resets the state observed of an earlier incarnation when a newer one is reported.
     fn start(&mut self, incarnation: u64) {
         if incarnation <= self.incarnation {
             return;
@@ -154,7 +159,7 @@
         self.retired.clear();
     }
 
-    /// Some source says that this incarnation leaves.
+    /// Records that some source reported this incarnation as leaving.
     pub(super) fn leave(&mut self, incarnation: u64) {
         self.leaving = self.leaving.max(Some(incarnation));
     }
@@ -163,7 +168,8 @@
         self.leaving.is_some_and(|leaving| leaving >= self.incarnation)
     }
 
-    /// Why it gets no new work; `None` if it may. `spent`: it warms up and may get no more for now.
+    /// Reason why the server gets no new work; `None` if it may get work. `spent`: the server is in
+    /// warm-up and this instance has used up its request rate.
     pub(super) fn exclusion(&self, spent: bool) -> Option<Exclusion> {
         let facts = Facts {
             listed: self.listed,
@@ -175,34 +181,36 @@
         facts.exclusion()
     }
 
-    /// Whether it may get new work at all.
+    /// Whether the server may get new work, warm-up rate limits aside.
     pub(super) fn accepts(&self) -> bool {
         self.exclusion(false).is_none()
     }
 
-    /// The server refused this version as retired.
+    /// Records that the server refused this index version as retired.
     pub(super) fn retire(&mut self, now: Instant, index: &str, version: u64) {
-        self.retired.retain(|(_, at)| now.since(*at) < RETIRED_AGE);
+        self.retired.retain(|(_, at)| now.since(*at) < RETIRED_MAX_AGE);
         let holding = Holding { index: index.to_owned(), version };
         self.retired.push((holding, now));
     }
 
-    /// Whether it serves an index version, by the publication or a fresh report.
+    /// Whether the server serves an index version, according to the publication or a fresh load
+    /// report.
     pub(super) fn holds(&self, now: Instant, index: &str, version: u64) -> bool {
-        let is = |holding: &Holding| holding.version == version && holding.index == index;
-        let fresh = |at: &Instant| now.since(*at) < RETIRED_AGE;
-        if self.retired.iter().any(|(holding, at)| is(holding) && fresh(at)) {
+        let is_version = |holding: &Holding| holding.version == version && holding.index == index;
+        let is_fresh = |at: &Instant| now.since(*at) < RETIRED_MAX_AGE;
+        if self.retired.iter().any(|(holding, at)| is_version(holding) && is_fresh(at)) {
             return false;
         }
-        let reported = self.fresh_report(now).is_some_and(|load| load.holdings.iter().any(is));
-        reported || self.holdings.iter().any(is)
+        let is_reported =
+            self.fresh_load_report(now).is_some_and(|load| load.holdings.iter().any(is_version));
+        is_reported || self.holdings.iter().any(is_version)
     }
 
     pub(super) fn cold(&self, now: Instant) -> bool {
-        self.fresh_report(now).is_some_and(|load| load.cold)
+        self.fresh_load_report(now).is_some_and(|load| load.cold)
     }
 
-    /// Requests it may work on at once; a cold server gets half.
+    /// Number of requests that the server may run concurrently; a cold server gets half its slots.
     pub(super) fn capacity(&self, now: Instant) -> u32 {
         match self.cold(now) {
             true => (self.slots / 2).max(1),
@@ -210,13 +218,13 @@
         }
     }
 
-    /// The last load report unless it is too old.
-    pub(super) fn fresh_report(&self, now: Instant) -> Option<&target::Load> {
+    /// The latest load report, unless older than [`REPORT_MAX_AGE`].
+    pub(super) fn fresh_load_report(&self, now: Instant) -> Option<&target::Load> {
         let (at, load) = self.report.as_ref()?;
-        (now.since(*at) < REPORT_AGE).then_some(load)
+        (now.since(*at) < REPORT_MAX_AGE).then_some(load)
     }
 
-    /// Age of the last load report.
+    /// Age of the latest load report.
     pub(super) fn report_age(&self, now: Instant) -> Option<Duration> {
         self.report.as_ref().map(|(at, _)| now.since(*at))
     }
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -1,4 +1,4 @@
-//! Services for which this instance is a candidate.
+//! Services that this instance is a candidate for.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,31 +20,32 @@
 use crate::view;
 
 new_key_type! {
-    /// A service held by the machine, the same in all views.
+    /// Key of a service in the leaf machine; the key stays the same across views.
     pub(super) struct ServiceId;
 }
 
-/// How long an instance counts as one that asks for others after it got work of them.
-const ASKED: Duration = Duration::from_secs(5);
-/// How long a service counts as asked for after work arrived.
-const WANTED: Duration = Duration::from_secs(5);
-/// Weight of one answer in what is held of a service's load.
-const BUSY_WEIGHT: f64 = 0.05;
+/// Time after receiving work from another instance for which this instance is considered to ask a
+/// service's servers on behalf of others.
+const HANDOVER_MEMORY: Duration = Duration::from_secs(5);
+/// Time after the arrival of work for which a service is considered in demand.
+const DEMAND_MEMORY: Duration = Duration::from_secs(5);
+/// Weight of one answer in the moving average of a service's load.
+const LOAD_WEIGHT: f64 = 0.05;
 
-/// What this instance is to a service.
+/// Role of this instance for a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// The first live candidate.
+    /// This instance is the owner: the first live candidate.
     Owner,
-    /// The live candidate after the owner.
+    /// This instance is the first fallback owner: the live candidate after the owner.
     Next,
-    /// Another candidate.
+    /// This instance is another candidate.
     Spare,
-    /// No candidate any more; calls in flight still end.
+    /// This instance is no longer a candidate; its calls in flight are still completed.
     None,
 }
 
-/// For whom an instance asks a service's servers.
+/// On whose behalf an instance sends work to a service's servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Asker {
     ForAll,
@@ -52,7 +53,7 @@
 }
 
 impl Rank {
-    /// The rank of this instance in the view's service.
+    /// Role of this instance for the service, according to the view.
     pub(super) fn of(service: &view::Service) -> Self {
         if !service.is_candidate() {
             return Self::None;
@@ -66,49 +67,53 @@
     }
 }
 
-/// A service for which this instance is or was a candidate.
+/// State of a service that this instance is or was a candidate for.
 #[derive(Clone, Debug)]
 pub(super) struct Service {
     pub(super) name: Arc<str>,
     pub(super) entry: Arc<catalogue::Entry>,
     pub(super) rank: Rank,
-    /// Its servers, also unlisted ones with calls in flight.
+    /// Servers of the service, including unlisted ones with calls in flight.
     pub(super) servers: Vec<ServerKey>,
     pub(super) queue: Queue,
-    /// Open calls, also those whose portion was replied to.
+    /// Number of the service's open calls, including calls whose portion already has a reply.
     pub(super) in_flight: u32,
-    /// Call times over all servers.
+    /// Call times by kind of work over all servers of the service.
     pub(super) kinds: Kinds,
-    /// Work that its servers held of late over their slots; zero while none said.
+    /// Moving average of the servers' running and waiting requests divided by their slots; zero
+    /// until an answer reports an occupancy.
     pub(super) busy: Average,
-    /// Its queue or servers changed in the event at hand.
+    /// Whether the service's queue or servers changed while the current event was handled.
     pub(super) marked: bool,
     pub(super) budget: Budget,
     pub(super) admission: Admission,
-    /// Portions whose hedge is due but has found no slot or no token yet, by time of sending.
+    /// Portions whose hedge is due but has found no free slot or no budget yet, by time of the
+    /// first call.
     pub(super) overdue: BTreeSet<(Instant, PortionKey)>,
-    /// Connections to one server that were needed at once of late.
+    /// Recent maximum of concurrent connections needed to one server.
     pub(super) peak: Peak,
-    /// Next server in turn.
+    /// Index of the next server for round robin.
     pub(super) cursor: usize,
-    /// One instance asks its servers for all.
+    /// Whether the servers accept too few connections for every instance: one instance then sends
+    /// all work of the service.
     pub(super) scarce: bool,
-    /// This instance may keep a connection to each of its servers that it has no work for.
+    /// Whether this instance may keep a connection without work to each server of the service.
     pub(super) spare: bool,
-    /// One of several candidates asks its servers, the owner.
+    /// Whether the service has several candidates, of which only the owner sends work to the
+    /// servers.
     owned: bool,
-    /// What this instance may spend of what the fleet may.
-    parts: Parts,
-    /// When another instance last handed work over.
+    /// This instance's share of the fleet's budget for extra calls.
+    extra_call_shares: ExtraCallShares,
+    /// Time at which another instance last handed over work; `None` if it expired.
     asked: Option<Instant>,
-    /// When work was last taken on.
+    /// Time at which work was last accepted.
     pub(super) last_work: Instant,
-    /// When work last arrived, refused or not; `None` before.
+    /// Time at which work last arrived, refused or not; `None` before the first.
     pub(super) wanted: Option<Instant>,
 }
 
 impl Service {
-    /// A service as listed, at the instance of this name.
+    /// Creates a service from its view; `own` is the name of this instance.
     pub(super) fn new(listed: &view::Service, own: &str, now: Instant) -> Self {
         Self {
             name: Arc::clone(&listed.name),
@@ -120,7 +125,7 @@
             kinds: Kinds::default(),
             busy: Average::default(),
             marked: false,
-            budget: Budget::new(Parts::of(listed, own).usual, now),
+            budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
             admission: Admission::default(),
             overdue: BTreeSet::new(),
             peak: Peak::default(),
@@ -128,7 +133,7 @@
             scarce: listed.scarce,
             spare: listed.spare,
             owned: listed.candidates.len() > 1,
-            parts: Parts::of(listed, own),
+            extra_call_shares: ExtraCallShares::of(listed, own),
             asked: None,
             last_work: Instant::default(),
             wanted: None,
@@ -139,12 +144,13 @@
         self.entry.limits.unwrap_or_default()
     }
 
-    /// How long its servers may need to warm up.
+    /// Maximum warm-up time of the service's servers.
     pub(super) fn warmup(&self) -> Duration {
         Duration::from_millis(self.limits().warmup_ms.into())
     }
 
-    /// Whether this instance asks the servers for others, or for itself alone; `None` if another one does.
+    /// On whose behalf this instance sends work to the service's servers: for all instances or for
+    /// itself alone; `None` if another instance sends the work.
     pub(super) fn asks(&self) -> Option<Asker> {
         match (self.scarce, self.rank) {
             (true, _) if self.asked.is_some() => Some(Asker::ForAll),
@@ -155,75 +161,83 @@
         }
     }
 
-    /// Takes a listing of the service in, at the instance of this name.
+    /// Updates the service from a view; `own` is the name of this instance.
     pub(super) fn list(&mut self, listed: &view::Service, own: &str) {
         self.rank = Rank::of(listed);
         self.scarce = listed.scarce;
         self.spare = listed.spare;
         self.owned = listed.candidates.len() > 1;
         self.entry = Arc::clone(&listed.entry);
-        self.parts = Parts::of(listed, own);
-        self.divide();
+        self.extra_call_shares = ExtraCallShares::of(listed, own);
+        self.apply_extra_call_share();
     }
 
-    /// Whether work arrived of late, refused or not.
-    pub(super) fn is_wanted(&self, now: Instant) -> bool {
-        self.wanted.is_some_and(|at| now.since(at) < WANTED)
+    /// Whether work arrived within [`DEMAND_MEMORY`], refused or not.
+    pub(super) fn has_demand(&self, now: Instant) -> bool {
+        self.wanted.is_some_and(|at| now.since(at) < DEMAND_MEMORY)
     }
 
-    /// Another instance hands work over.
+    /// Records that another instance handed over work.
     pub(super) fn asked(&mut self, now: Instant) {
         if self.asked.replace(now).is_none() {
-            self.divide();
+            self.apply_extra_call_share();
         }
     }
 
-    /// Notes that nobody has handed work over for a while.
+    /// Ends this instance's role of sending work for others when no instance has handed over work
+    /// for [`HANDOVER_MEMORY`].
     pub(super) fn expire(&mut self, now: Instant) {
-        if self.asked.is_some_and(|at| now.since(at) >= ASKED) {
+        if self.asked.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
             self.asked = None;
-            self.divide();
+            self.apply_extra_call_share();
         }
     }
 
-    fn divide(&mut self) {
-        let asker = self.scarce && self.asked.is_some();
-        self.budget.allow(if asker { self.parts.asker } else { self.parts.usual });
+    fn apply_extra_call_share(&mut self) {
+        let sends_for_all = self.scarce && self.asked.is_some();
+        self.budget.allow(if sends_for_all {
+            self.extra_call_shares.sends_for_all
+        } else {
+            self.extra_call_shares.one_of_all
+        });
     }
 
-    /// Takes in what a server said that it works on as it answered a call, which is among it.
+    /// Updates the service's load from the occupancy that a server reported with its answer; the
+    /// answered call is counted in that occupancy and subtracted.
     pub(super) fn occupied(&mut self, occupancy: target::Occupancy) {
-        let work = occupancy.running.saturating_add(occupancy.waiting).saturating_sub(1);
-        let busy = f64::from(work) / f64::from(occupancy.slots.max(1));
-        self.busy.add(busy, BUSY_WEIGHT);
+        let other_requests = occupancy.running.saturating_add(occupancy.waiting).saturating_sub(1);
+        let load = f64::from(other_requests) / f64::from(occupancy.slots.max(1));
+        self.busy.add(load, LOAD_WEIGHT);
     }
 
-    /// Takes a call time in.
+    /// Adds a call time to the service's estimates.
     pub(super) fn learn(&mut self, kind: Kind, span: Duration) {
         let extra = self.limits().extra_percent;
         self.kinds.learn(kind, span, extra);
     }
 }
 
-/// What an instance may spend of the fleet's extra calls.
+/// This instance's shares of the fleet's budget for extra calls.
 #[derive(Clone, Copy, Debug)]
-struct Parts {
-    /// As one of all instances.
-    usual: Allowance,
-    /// As one of the few that ask for all.
-    asker: Allowance,
+struct ExtraCallShares {
+    /// Share of this instance as one of all instances.
+    one_of_all: Allowance,
+    /// Share of this instance while it sends the service's work for all instances.
+    sends_for_all: Allowance,
 }
 
-impl Parts {
-    /// Where few ask for all, half of the fleet's extra calls is theirs and the other half is divided
-    /// among all, so that together they spend no more than the whole.
+impl ExtraCallShares {
+    /// Where few instances send the work of all, half of the fleet's extra calls is theirs and the
+    /// other half is divided among all instances, so that together they spend no more than the
+    /// whole.
     ///
-    /// An asker makes nearly all calls of a service. With the part of one of sixty it had two extra calls,
-    /// which are kept for retries: no slow call ever got a second copy.
+    /// An instance that sends the work of all makes nearly all calls of a service. With the share
+    /// of one of sixty instances it had two extra calls, which are reserved for retries: no slow
+    /// call was ever hedged.
     fn of(listed: &view::Service, own: &str) -> Self {
         let limits = listed.entry.limits.unwrap_or_default();
-        let part = |sharers: u32| Allowance::of(&limits, sharers, [&listed.name, own]);
-        let all = listed.sharers.saturating_mul(if listed.scarce { 2 } else { 1 });
-        Self { usual: part(all), asker: part(2 * CANDIDATES as u32) }
+        let share_of = |sharers: u32| Allowance::of(&limits, sharers, [&listed.name, own]);
+        let usual_sharers = listed.sharers.saturating_mul(if listed.scarce { 2 } else { 1 });
+        Self { one_of_all: share_of(usual_sharers), sends_for_all: share_of(2 * CANDIDATES as u32) }
     }
 }
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -111,13 +111,13 @@
 
 fn server_status(
     server: &server::Server,
-    held: bool,
+    is_held_back: bool,
     usual: Option<Duration>,
     now: Instant,
 ) -> Server {
     Server {
         name: Arc::clone(&server.name),
-        state: state(server, held, now),
+        state: state(server, is_held_back, now),
         in_flight: server.in_flight,
         slots: server.slots,
         connections: server.lanes.len(),
@@ -128,7 +128,7 @@
     }
 }
 
-fn state(server: &server::Server, held: bool, now: Instant) -> State {
+fn state(server: &server::Server, is_held_back: bool, now: Instant) -> State {
     match server.exclusion(false) {
         Some(Exclusion::Leaving) => return State::Leaving,
         Some(Exclusion::Evacuated) => return State::Evacuated,
@@ -141,7 +141,7 @@
         return State::Unreachable;
     }
     if server.health.suspect() {
-        return if held { State::Suspect } else { State::Tolerated };
+        return if is_held_back { State::Suspect } else { State::Tolerated };
     }
     if now < server.health.shed_until() {
         return State::Shedding;
