--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of one portion to one server.
+//! A call: one request that carries one portion to one server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,44 +14,45 @@
 use crate::collections::Set;
 use crate::time::Instant;
 
-/// A call that has not ended. It occupies a slot of its server and a lane even after its portion
-/// was replied to.
+/// An open call. The call occupies a slot of its server and a pooled connection even after its
+/// portion has a reply.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
-    /// The portion; `None` once it was replied to.
+    /// Key of the call's portion; `None` once the portion has a reply.
     pub(super) portion: Option<PortionKey>,
     pub(super) service: ServiceId,
-    /// Its kind of work.
+    /// Kind of work of the call, for call time estimates.
     pub(super) kind: Kind,
     pub(super) server: ServerKey,
     pub(super) lane: LaneKey,
-    /// The target request's identifier.
+    /// Identifier of the target request.
     pub(super) id: String,
     pub(super) job: Arc<Job>,
     pub(super) shards: Arc<[String]>,
     pub(super) sent: Instant,
     pub(super) timeout: Duration,
-    /// Record of the request key, for the unrepeatable.
+    /// Record of the request key; `Some` for non-idempotent requests only.
     pub(super) record: Option<record::Name>,
-    /// The call takes so long that its server was told so already, or is no longer wanted.
+    /// Whether the call was abandoned: its server was already charged for the slow call, or the
+    /// answer is no longer needed.
     pub(super) given_up: bool,
 }
 
-/// How an answer differs from what was asked.
+/// Difference between an answer and its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Mismatch {
-    /// It is of another index or version.
+    /// The answer is of another index or version.
     Version,
-    /// It carries another identifier or other shards.
+    /// The answer contains another request identifier or other shards.
     Request,
 }
 
 impl Attempt {
-    /// Compares an answer with what was asked.
+    /// Verifies that an answer belongs to this request.
     ///
-    /// A connection that is out of step delivers an answer to another request; a server that
-    /// changed its index between two requests delivers another version. Either would enter a
-    /// caller's answer as if it belonged there.
+    /// A connection that is out of step delivers the answer to another request; a server that
+    /// changed its index between two requests delivers another version. Without this check either
+    /// would become part of a caller's answer.
     pub(super) fn check(&self, answer: &target::Answer) -> Result<(), Mismatch> {
         if answer.id != self.id {
             return Err(Mismatch::Request);
@@ -66,7 +67,7 @@
         Ok(())
     }
 
-    /// Whether the answer has exactly one part for each shard asked for.
+    /// Whether the answer contains exactly one part for each requested shard.
     fn covers(&self, answer: &target::Answer) -> bool {
         if answer.parts.len() != self.shards.len() {
             return false;
@@ -76,7 +77,8 @@
         same_order || self.covers_set(answer)
     }
 
-    /// Whether each shard asked for is among as many parts as there are shards.
+    /// Whether every requested shard is among the parts, for an answer with as many parts as
+    /// shards.
     fn covers_set(&self, answer: &target::Answer) -> bool {
         let parts: Set<&str> = answer.parts.iter().map(|part| part.shard.as_str()).collect();
         self.shards.iter().all(|shard| parts.contains(shard.as_str()))
--- a/crates/core/src/leaf/estimate.rs
+++ b/crates/core/src/leaf/estimate.rs
@@ -1,25 +1,25 @@
-//! Recent call times of a service: mean and quantiles.
+//! Statistics of a service's recent call times: mean and quantiles.
 
 use std::time::Duration;
 
 use crate::time::micros;
 
-/// Buckets per doubling of the call time.
-const PER_OCTAVE: u32 = 8;
-/// Covers up to about 67 seconds.
-const BUCKETS: usize = 26 * PER_OCTAVE as usize;
-/// Samples after which all buckets are halved, so that old samples fade.
-const WINDOW: u32 = 2048;
+/// Number of histogram buckets per doubling of the call time.
+const BUCKETS_PER_DOUBLING: u32 = 8;
+/// Number of histogram buckets; they cover call times up to about 67 seconds.
+const BUCKETS: usize = 26 * BUCKETS_PER_DOUBLING as usize;
+/// Number of samples after which all bucket counts are halved, so that old samples lose weight.
+const MAX_TOTAL: u32 = 2048;
 /// Weight of one sample in the mean.
-const WEIGHT: f64 = 0.02;
+const MEAN_WEIGHT: f64 = 0.02;
 
 /// Histogram of recent call times with logarithmic buckets.
 #[derive(Clone, Debug)]
 pub(super) struct Estimate {
     buckets: Vec<u32>,
-    /// Invariant: the sum of `buckets`.
+    /// Number of samples in the histogram, halvings included. Invariant: the sum of `buckets`.
     total: u32,
-    /// Samples ever seen.
+    /// Number of samples added since the start, halvings ignored.
     samples: u64,
     mean_us: f64,
 }
@@ -31,44 +31,45 @@
 }
 
 impl Estimate {
-    /// Takes a call time in.
+    /// Adds a call time.
     pub(super) fn add(&mut self, span: Duration) {
         let us = micros(span).max(1);
-        self.buckets[bucket(us)] += 1;
+        self.buckets[bucket_index(us)] += 1;
         self.total += 1;
         self.samples += 1;
-        let weight = WEIGHT.max(1.0 / self.samples as f64);
+        let weight = MEAN_WEIGHT.max(1.0 / self.samples as f64);
         self.mean_us += weight * (us as f64 - self.mean_us);
-        if self.total >= WINDOW {
-            self.halve();
+        if self.total >= MAX_TOTAL {
+            self.halve_counts();
         }
     }
 
-    /// Samples ever seen.
+    /// Number of samples added since the start, halvings ignored.
     pub(super) fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// Mean of the recent call times, `None` before the first.
+    /// Mean of the recent call times, `None` before the first sample.
     pub(super) fn mean(&self) -> Option<Duration> {
         (self.samples > 0).then(|| Duration::from_micros(self.mean_us as u64))
     }
 
-    /// The call time that a share `quantile` of recent calls does not exceed.
+    /// Upper bound of the call times of the fastest `quantile` (0 to 1) of recent calls; `None`
+    /// without samples.
     pub(super) fn quantile(&self, quantile: f64) -> Option<Duration> {
         if self.total == 0 {
             return None;
         }
         let rank = (quantile * f64::from(self.total)).ceil().max(1.0) as u32;
-        let mut seen = 0;
+        let mut cumulative = 0;
         let index = self.buckets.iter().position(|count| {
-            seen += count;
-            seen >= rank
+            cumulative += count;
+            cumulative >= rank
         });
-        index.map(|index| Duration::from_micros(upper_bound(index)))
+        index.map(|index| Duration::from_micros(upper_bound_us(index)))
     }
 
-    fn halve(&mut self) {
+    fn halve_counts(&mut self) {
         for count in &mut self.buckets {
             *count /= 2;
         }
@@ -76,11 +77,11 @@
     }
 }
 
-fn bucket(us: u64) -> usize {
-    let index = ((us as f64).log2() * f64::from(PER_OCTAVE)) as usize;
+fn bucket_index(us: u64) -> usize {
+    let index = ((us as f64).log2() * f64::from(BUCKETS_PER_DOUBLING)) as usize;
     index.min(BUCKETS - 1)
 }
 
-fn upper_bound(index: usize) -> u64 {
-    ((index + 1) as f64 / f64::from(PER_OCTAVE)).exp2() as u64
+fn upper_bound_us(index: usize) -> u64 {
+    ((index + 1) as f64 / f64::from(BUCKETS_PER_DOUBLING)).exp2() as u64
 }
--- a/crates/core/src/leaf/health.rs
+++ b/crates/core/src/leaf/health.rs
@@ -1,122 +1,128 @@
-//! What the outcomes of calls say about one server.
+//! Health of one server, derived from the outcomes of its calls.
 
 use std::time::Duration;
 
 use super::random::Random;
 use crate::time::{Instant, micros};
 
-/// Weight of one outcome in the failure rate.
-const WEIGHT: f64 = 0.1;
+/// Weight of one outcome in the failure rate and the shed rate.
+const OUTCOME_WEIGHT: f64 = 0.1;
 /// Weight of one call time in the mean.
 const TIME_WEIGHT: f64 = 0.1;
-/// Time in which what was seen loses half its weight.
-const FADE: Duration = Duration::from_secs(2);
-/// Time in which a pace slower than usual loses half of what it has beyond it. Servers stand still for a
-/// tenth of a second now and then, and one that is slow for longer shows it again at its next call.
-const SLOW_FADE: Duration = Duration::from_millis(500);
-/// Failures in a row that make a server suspect.
-const ROW: u32 = 3;
-/// Failure rate that makes a server suspect.
-const RATE: f64 = 0.5;
-/// Share of calls that fail or are shed, and times the usual call time, from which on a server is poor.
+/// Half-life of the failure rate and the shed rate while no outcome arrives.
+const HALF_LIFE: Duration = Duration::from_secs(2);
+/// Half-life of the part of a server's relative call time above 1. Servers occasionally stall for a
+/// tenth of a second, and a server that is slow for longer shows it again at its next call.
+const SLOW_HALF_LIFE: Duration = Duration::from_millis(500);
+/// Number of consecutive failures that make a server suspect.
+const SUSPECT_CONSECUTIVE_FAILURES: u32 = 3;
+/// Failure rate above which a server is suspect.
+const SUSPECT_FAILURE_RATE: f64 = 0.5;
+/// Failure or shed rate from which a server is considered poor.
 const POOR_RATE: f64 = 0.15;
+/// Relative call time, as a multiple of the usual one, from which a server is considered poor.
 const POOR_PACE: f64 = 2.5;
-/// First and longest pause of a suspect server.
-const PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// Pauses after a server sheds: the shortest when it gives no advice, and the longest.
-const SHED_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_SHED_PAUSE: Duration = Duration::from_secs(2);
-
-/// Failure rate, call times and pauses of one server, from outcomes only.
+/// Shortest pause of a suspect server.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause of a suspect server.
+const MAX_PAUSE: Duration = Duration::from_secs(5);
+/// Shortest pause after a server sheds, also used if the server gives no advice.
+const MIN_SHED_PAUSE: Duration = Duration::from_millis(10);
+/// Longest pause after a server sheds.
+const MAX_SHED_PAUSE: Duration = Duration::from_secs(2);
+
+/// Failure rate, relative call time and pauses of one server, derived from call outcomes only.
 ///
-/// A server that answers errors at once looks idle and fast. It would attract all work if call
-/// times of failures counted; they do not, and failures raise the rate.
+/// A server that immediately answers with errors looks idle and fast. If the call times of failures
+/// counted, the server would attract all work; they don't count, and failures raise the rate.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
-    /// Failure rate at the time of the last outcome.
+    /// Failure rate at the time of the latest outcome.
     failure_rate: f64,
-    /// Time of the last outcome.
-    seen: Instant,
-    /// Failures since the last answer.
-    row: u32,
-    /// Mean of call times over the usual ones of their kind of work, zero before the first.
+    /// Time of the latest outcome.
+    last_outcome_at: Instant,
+    /// Number of failures since the last answer.
+    consecutive_failures: u32,
+    /// Moving average of call time divided by the usual call time of the same kind of work; zero
+    /// before the first answer.
     pace: f64,
-    /// Pauses since the last answer.
-    pauses: u32,
-    /// End of the pause of a suspect server; after it one call at a time tries the server.
+    /// Number of pauses since the last answer.
+    consecutive_pauses: u32,
+    /// End of the pause of a suspect server; after the pause, one call at a time is sent to the
+    /// server.
     paused_until: Instant,
-    /// End of the pause that the server asked for by shedding.
+    /// End of the pause that the server caused by shedding.
     shed_until: Instant,
-    /// It has shed since its last answer.
+    /// Whether the server has shed a call since its last answer.
     sheds: bool,
-    /// Share of calls that it shed, at the time of the last answer or shedding.
+    /// Fraction of calls that the server shed, at the time of the latest answer or shed call.
     shed_rate: f64,
 }
 
 impl Health {
-    /// A call was answered; `usual` is what calls of its kind take.
+    /// Records an answered call; `usual` is the mean call time of its kind of work.
     pub(super) fn answered(&mut self, now: Instant, span: Duration, usual: Option<Duration>) {
-        self.failure_rate = self.failure_rate(now) * (1.0 - WEIGHT);
-        self.see(now);
-        if self.row >= ROW {
-            self.failure_rate = self.failure_rate.min(RATE / 2.0);
+        self.failure_rate = self.failure_rate(now) * (1.0 - OUTCOME_WEIGHT);
+        self.record_outcome_time(now);
+        if self.consecutive_failures >= SUSPECT_CONSECUTIVE_FAILURES {
+            self.failure_rate = self.failure_rate.min(SUSPECT_FAILURE_RATE / 2.0);
         }
-        self.row = 0;
+        self.consecutive_failures = 0;
         self.sheds = false;
-        self.shed_rate = self.shed_rate(now) * (1.0 - WEIGHT);
-        self.pauses = 0;
-        self.sample(span, usual);
+        self.shed_rate = self.shed_rate(now) * (1.0 - OUTCOME_WEIGHT);
+        self.consecutive_pauses = 0;
+        self.add_pace_sample(span, usual);
     }
 
-    /// Takes in that a call took at least this long without an answer.
+    /// Records that a call took at least `span` without an answer.
     pub(super) fn slow(&mut self, span: Duration, usual: Option<Duration>) {
         let usual_us = usual.map_or(0.0, |usual| micros(usual) as f64);
         if micros(span) as f64 > self.pace * usual_us {
-            self.sample(span, usual);
+            self.add_pace_sample(span, usual);
         }
     }
 
     pub(super) fn failed(&mut self, now: Instant, random: &mut Random) {
         let rate = self.failure_rate(now);
-        self.failure_rate = rate + WEIGHT * (1.0 - rate);
-        self.see(now);
-        self.row += 1;
-        let paused = now < self.paused_until;
-        if !self.suspect() || paused {
+        self.failure_rate = rate + OUTCOME_WEIGHT * (1.0 - rate);
+        self.record_outcome_time(now);
+        self.consecutive_failures += 1;
+        let is_paused = now < self.paused_until;
+        if !self.suspect() || is_paused {
             return;
         }
-        let pause = PAUSE.saturating_mul(1 << self.pauses.min(6)).min(LONGEST_PAUSE);
-        self.pauses += 1;
+        let pause = MIN_PAUSE.saturating_mul(1 << self.consecutive_pauses.min(6)).min(MAX_PAUSE);
+        self.consecutive_pauses += 1;
         self.paused_until = now + random.jitter(pause);
     }
 
     pub(super) fn shed(&mut self, now: Instant, advice: Duration, random: &mut Random) -> Instant {
         self.sheds = true;
         let rate = self.shed_rate(now);
-        self.shed_rate = rate + WEIGHT * (1.0 - rate);
-        self.see(now);
-        let pause = advice.clamp(SHED_PAUSE, LONGEST_SHED_PAUSE);
+        self.shed_rate = rate + OUTCOME_WEIGHT * (1.0 - rate);
+        self.record_outcome_time(now);
+        let pause = advice.clamp(MIN_SHED_PAUSE, MAX_SHED_PAUSE);
         let until = now + pause + random.jitter(pause / 4);
         self.shed_until = self.shed_until.max(until);
         self.shed_until
     }
 
-    /// Held failing by its outcomes.
+    /// Whether the server is considered failing because of its call outcomes.
     pub(super) fn suspect(&self) -> bool {
-        self.row >= ROW || self.failure_rate > RATE
+        self.consecutive_failures >= SUSPECT_CONSECUTIVE_FAILURES
+            || self.failure_rate > SUSPECT_FAILURE_RATE
     }
 
-    /// Time of the last outcome.
-    pub(super) const fn seen(&self) -> Instant {
-        self.seen
+    /// Time of the latest outcome.
+    pub(super) const fn last_outcome_at(&self) -> Instant {
+        self.last_outcome_at
     }
 
     pub(super) fn paused_until(&self) -> Instant {
         self.paused_until
     }
 
-    /// Whether it has shed since its last answer.
+    /// Whether the server has shed a call since its last answer.
     pub(super) fn sheds(&self) -> bool {
         self.sheds
     }
@@ -125,49 +131,53 @@
         self.shed_until
     }
 
-    /// Failure rate, halved for every [`FADE`] without an outcome.
+    /// Failure rate, halved for every [`HALF_LIFE`] without an outcome.
     ///
-    /// A server that is avoided shows no outcomes. Without fading it would be avoided for ever.
+    /// An avoided server produces no outcomes. Without the decay the server would be avoided for
+    /// ever.
     pub(super) fn failure_rate(&self, now: Instant) -> f64 {
-        let idle = now.since(self.seen).as_secs_f64() / FADE.as_secs_f64();
+        let idle = now.since(self.last_outcome_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.failure_rate * (-idle).exp2()
     }
 
-    /// Share of calls that it sheds, halved for every [`FADE`] without an outcome.
+    /// Fraction of calls that the server sheds, halved for every [`HALF_LIFE`] without an outcome.
     ///
-    /// A server that sheds part of its calls answers the others as fast as ever and looks free. Each
-    /// call that it sheds costs an extra call elsewhere, and those are few.
+    /// A server that sheds some of its calls answers the others as fast as usual and looks free.
+    /// Each shed call costs an extra call at another server, and the number of extra calls is
+    /// limited.
     pub(super) fn shed_rate(&self, now: Instant) -> f64 {
-        let idle = now.since(self.seen).as_secs_f64() / FADE.as_secs_f64();
+        let idle = now.since(self.last_outcome_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.shed_rate * (-idle).exp2()
     }
 
-    /// Whether another server of the service is the better choice, where there is one.
+    /// Whether the server is slow, failing or shedding so much that another server of the service
+    /// is the better choice, if there is one.
     pub(super) fn is_poor(&self, now: Instant) -> bool {
-        let slow = self.pace(now).is_some_and(|pace| pace >= POOR_PACE);
-        slow || self.failure_rate(now) >= POOR_RATE || self.shed_rate(now) >= POOR_RATE
+        let is_slow = self.pace(now).is_some_and(|pace| pace >= POOR_PACE);
+        is_slow || self.failure_rate(now) >= POOR_RATE || self.shed_rate(now) >= POOR_RATE
     }
 
-    /// How many times the usual time its calls take; `None` before the first answer and when the last
-    /// is too long ago.
+    /// Relative call time: multiple of the usual time that the server's calls take; `None` before
+    /// the first answer and if the latest outcome is older than [`HALF_LIFE`].
     pub(super) fn pace(&self, now: Instant) -> Option<f64> {
-        let known = self.pace > 0.0 && now.since(self.seen) < FADE;
-        known.then_some(self.faded_pace(now))
+        let is_known = self.pace > 0.0 && now.since(self.last_outcome_at) < HALF_LIFE;
+        is_known.then_some(self.decayed_pace(now))
     }
 
-    fn faded_pace(&self, now: Instant) -> f64 {
-        let idle = now.since(self.seen).as_secs_f64() / SLOW_FADE.as_secs_f64();
-        let slow = (self.pace - 1.0).max(0.0);
-        self.pace - slow + slow * (-idle).exp2()
+    fn decayed_pace(&self, now: Instant) -> f64 {
+        let idle = now.since(self.last_outcome_at).as_secs_f64() / SLOW_HALF_LIFE.as_secs_f64();
+        let excess = (self.pace - 1.0).max(0.0);
+        self.pace - excess + excess * (-idle).exp2()
     }
 
-    /// An outcome is there: what fades with time does so from now on.
-    fn see(&mut self, now: Instant) {
-        self.pace = self.faded_pace(now);
-        self.seen = now;
+    /// Registers the time of a new outcome; the relative call time and the rates decay from then
+    /// on.
+    fn record_outcome_time(&mut self, now: Instant) {
+        self.pace = self.decayed_pace(now);
+        self.last_outcome_at = now;
     }
 
-    fn sample(&mut self, span: Duration, usual: Option<Duration>) {
+    fn add_pace_sample(&mut self, span: Duration, usual: Option<Duration>) {
         let Some(usual) = usual.filter(|usual| !usual.is_zero()) else {
             return;
         };
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -17,6 +17,7 @@
 const SPARE_CONNECTIONS: usize = 2;
 /// Delay before a connection is opened again after the first failure.
 const MIN_REOPEN_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay before a connection is opened again.
 const MAX_REOPEN_DELAY: Duration = Duration::from_secs(5);
 /// Longest delay before a connection is opened again while the server's service receives work. Few
 /// services do, and callers wait for their answers. After a loss of all instances the servers go on
@@ -31,7 +32,7 @@
 impl Machine {
     /// Handles an established connection, or a completed cancellation or load report request on
     /// one.
-    pub(super) fn opened(&mut self, key: LaneKey, out: &mut Vec<Action>) {
+    pub(super) fn connection_opened(&mut self, key: LaneKey, out: &mut Vec<Action>) {
         let Some(lane) = self.lanes.get_mut(key) else {
             return;
         };
@@ -101,16 +102,16 @@
     /// Sends cancellations for calls that are no longer needed, as long as idle connections are
     /// available.
     pub(super) fn send_queued_cancels(&mut self, key: ServerKey, out: &mut Vec<Action>) {
-        while let Some(attempt) = self.servers[key].cancels.front().copied() {
+        while let Some(attempt) = self.servers[key].queued_cancels.front().copied() {
             let Some(call) = self.attempts.get(attempt) else {
-                self.servers[key].cancels.pop_front();
+                self.servers[key].queued_cancels.pop_front();
                 continue;
             };
             let id = call.id.clone();
             let Some(lane) = self.idle_lane(key) else {
                 return;
             };
-            self.servers[key].cancels.pop_front();
+            self.servers[key].queued_cancels.pop_front();
             self.lanes[lane].state = State::Control;
             out.push(Action::Cancel { lane, id });
         }
@@ -233,8 +234,8 @@
         if !self.services.contains_key(id) {
             return;
         }
-        self.records.expire(self.now);
-        self.services[id].expire(self.now);
+        self.records.drop_expired(self.now);
+        self.services[id].expire_handover(self.now);
         self.maintain(id, out);
         self.probe(id, out);
         self.mark(id);
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -169,7 +169,7 @@
         match event {
             Event::Work { from, incarnation, work } => self.work(from, incarnation, work, out),
             Event::Cancel { from, cancel } => self.cancel(from, &cancel, out),
-            Event::Opened(lane) => self.opened(lane, out),
+            Event::Opened(lane) => self.connection_opened(lane, out),
             Event::Closed(lane) => self.closed(lane, out),
             Event::Refused(lane) => self.lane_refused(lane, out),
             Event::Ended { attempt, outcome } => self.ended(attempt, outcome, out),
--- a/crates/core/src/leaf/peak.rs
+++ b/crates/core/src/leaf/peak.rs
@@ -1,39 +1,41 @@
-//! The most of something over the last seconds.
+//! Maximum of a value over a sliding time window.
 
 use std::time::Duration;
 
 use crate::time::Instant;
 
-/// How long a peak is remembered, at least.
-const SPAN: Duration = Duration::from_secs(4);
+/// Minimum time for which a maximum is remembered; the maximum is dropped after at most twice this
+/// time.
+const WINDOW: Duration = Duration::from_secs(4);
 
-/// The most of something over the last seconds.
+/// Maximum of a value over the last 4 to 8 seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Peak {
-    /// Since when `recent` counts.
+    /// Start of the window that `recent` covers.
     since: Instant,
     recent: usize,
-    /// Of the span before `since`.
-    before: usize,
+    /// Maximum of the window before `since`.
+    previous: usize,
 }
 
 impl Peak {
-    /// Takes a value in.
+    /// Adds a value.
     pub(super) fn add(&mut self, now: Instant, value: usize) {
-        if now.since(self.since) >= SPAN {
-            self.before = self.get(now);
+        if now.since(self.since) >= WINDOW {
+            self.previous = self.get(now);
             self.recent = 0;
             self.since = now;
         }
         self.recent = self.recent.max(value);
     }
 
-    /// The greatest value of the last [`SPAN`] at least, and of twice that at most.
+    /// Maximum of the values added within the last [`WINDOW`]; values up to twice as old may be
+    /// included.
     pub(super) fn get(&self, now: Instant) -> usize {
-        match now.since(self.since) >= 2 * SPAN {
+        match now.since(self.since) >= 2 * WINDOW {
             true => 0,
-            false if now.since(self.since) >= SPAN => self.recent,
-            false => self.recent.max(self.before),
+            false if now.since(self.since) >= WINDOW => self.recent,
+            false => self.recent.max(self.previous),
         }
     }
 }
--- a/crates/core/src/leaf/recent.rs
+++ b/crates/core/src/leaf/recent.rs
@@ -1,4 +1,4 @@
-//! A bounded set of what was seen lately.
+//! A set of recently added members, bounded in size and age.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use crate::collections::Set;
 use crate::time::Instant;
 
-/// Members of one generation; two are kept.
-const GENERATION: usize = 32_768;
-/// Age of one generation. Two cover the longest deadline.
-const AGE: Duration = Duration::from_secs(60);
+/// Maximum number of members of one generation; two generations are kept.
+const GENERATION_SIZE: usize = 32_768;
+/// Maximum age of one generation. Two generations cover the longest deadline.
+const GENERATION_AGE: Duration = Duration::from_secs(60);
 
-/// What was seen lately: at least the last 32,768 members of the last minute.
+/// Set of recently added members: keeps at least the last 32,768 members of the last minute.
 #[derive(Clone, Debug)]
 pub(super) struct Recent<T> {
     current: Set<T>,
@@ -26,11 +26,11 @@
 }
 
 impl<T: Eq + Hash> Recent<T> {
-    /// Adds a member, or renews it; `false` when it was there.
+    /// Adds or renews a member; returns `false` if the set already contained the member.
     pub(super) fn insert(&mut self, now: Instant, member: T) -> bool {
         self.rotate(now);
-        let known = self.previous.contains(&member);
-        self.current.insert(member) && !known
+        let was_known = self.previous.contains(&member);
+        self.current.insert(member) && !was_known
     }
 
     pub(super) fn contains(&self, member: &T) -> bool {
@@ -38,8 +38,8 @@
     }
 
     fn rotate(&mut self, now: Instant) {
-        let old = now.since(self.started) >= AGE;
-        if !old && self.current.len() < GENERATION {
+        let is_old = now.since(self.started) >= GENERATION_AGE;
+        if !is_old && self.current.len() < GENERATION_SIZE {
             return;
         }
         self.previous = std::mem::take(&mut self.current);
--- a/crates/core/src/leaf/record.rs
+++ b/crates/core/src/leaf/record.rs
@@ -107,7 +107,7 @@
     }
 
     /// Drops records older than [`MAX_AGE`].
-    pub(super) fn expire(&mut self, now: Instant) {
+    pub(super) fn drop_expired(&mut self, now: Instant) {
         while let Some((written, ..)) = self.order.front() {
             if now.since(*written) < MAX_AGE {
                 break;
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -1,4 +1,4 @@
-//! Replies to entries.
+//! Replies to entry instances.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use super::timer::Timer;
 use crate::count;
 
-/// Why a portion is not answered.
+/// Verdict, reason and retry advice of a portion without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Refused {
     pub(super) verdict: Verdict,
     pub(super) reason: Reason,
-    /// When to come back; zero: no advice.
+    /// Delay after which the entry may retry; zero: no advice.
     pub(super) retry_after: Duration,
 }
 
 impl Refused {
-    /// Refused without having run.
+    /// A refusal of work that did not run.
     pub(super) fn because(reason: Reason) -> Self {
         Self::with(Verdict::NotRun, reason)
     }
@@ -32,12 +32,12 @@
         Self { verdict, reason, retry_after: Duration::ZERO }
     }
 
-    /// An earlier delivery of the request may have run.
+    /// A refusal of a request whose earlier delivery may have run.
     pub(super) fn repeated() -> Self {
         Self::with(Verdict::MayHaveRun, Reason::RepeatedKey)
     }
 
-    /// Adds when to come back.
+    /// Sets the delay after which the entry may retry, at least 1 ms.
     pub(super) fn come_back(mut self, after: Duration) -> Self {
         self.retry_after = after.max(Duration::from_millis(1));
         self
@@ -45,7 +45,7 @@
 }
 
 impl Machine {
-    /// Replies to a portion that was never queued.
+    /// Sends the refusal of a portion that was never queued.
     pub(super) fn refuse(
         &mut self,
         job: &Job,
@@ -58,26 +58,27 @@
         self.reply(job, reply, out);
     }
 
-    /// Replies to a portion that is given up.
+    /// Sends the refusal of a queued or sent portion and removes the portion.
     pub(super) fn finish(&mut self, key: PortionKey, refused: Refused, out: &mut Vec<Action>) {
         Self::count(count::Event::Refusal, refused.reason, out);
-        let abandoned = refused.reason == Reason::Deadline;
-        self.close(key, refused, Vec::new(), abandoned, out);
+        let calls_too_slow = refused.reason == Reason::Deadline;
+        self.close(key, refused, Vec::new(), calls_too_slow, out);
     }
 
-    /// Replies to a portion with a target's answer.
+    /// Sends a target's answer to a portion and removes the portion.
     pub(super) fn answer(
         &mut self,
         key: PortionKey,
         parts: Vec<call::Part>,
         out: &mut Vec<Action>,
     ) {
-        let ran = Refused::with(Verdict::Ran, Reason::Unspecified);
-        self.close(key, ran, parts, true, out);
+        let answered = Refused::with(Verdict::Ran, Reason::Unspecified);
+        self.close(key, answered, parts, true, out);
     }
 
-    /// Takes a portion out of all places and replies. Calls still open are cancelled where that is
-    /// allowed; `slow` when the open calls are to blame for it.
+    /// Removes a portion from the machine's state and replies to it. Open calls are cancelled where
+    /// that is allowed; `slow`: the open calls caused the portion to end and count as slow or
+    /// failed calls of their servers if they exceed the usual call time.
     fn close(
         &mut self,
         key: PortionKey,
@@ -89,13 +90,13 @@
         let Some(portion) = self.portions.remove(key) else {
             return;
         };
-        self.unlink(key, &portion);
-        self.log(&portion, refused, out);
+        self.remove_references(key, &portion);
+        self.log_portion(&portion, refused, out);
         for attempt in &portion.attempts {
-            self.orphan(*attempt, slow, out);
+            self.detach_call(*attempt, slow, out);
         }
         if portion.unrepeatable {
-            let state = state(refused);
+            let state = recorded_state(refused);
             self.records.settle(self.now, &portion.record(), state);
         }
         let service = &self.services[portion.service];
@@ -110,7 +111,7 @@
         self.portion_ended(&portion.job, out);
     }
 
-    fn unlink(&mut self, key: PortionKey, portion: &Portion) {
+    fn remove_references(&mut self, key: PortionKey, portion: &Portion) {
         let service = &mut self.services[portion.service];
         if let Some(place) = portion.place {
             service.queue.remove(place);
@@ -129,8 +130,9 @@
         }
     }
 
-    /// A call's portion has been replied to. The call keeps its slot and lane until it ends.
-    fn orphan(&mut self, key: AttemptKey, slow: bool, out: &mut Vec<Action>) {
+    /// Detaches an open call from its portion, which has a reply. The call keeps its slot and
+    /// pooled connection until it ends.
+    fn detach_call(&mut self, key: AttemptKey, slow: bool, out: &mut Vec<Action>) {
         let attempt = &mut self.attempts[key];
         attempt.portion = None;
         if attempt.record.is_some() {
@@ -139,8 +141,8 @@
         attempt.given_up = true;
         let elapsed = self.now.since(attempt.sent);
         let (service, server, kind) = (attempt.service, attempt.server, attempt.kind);
-        let limit = self.slow(service, kind);
-        if slow && limit.is_some_and(|limit| elapsed >= limit) {
+        let slow_after = self.slow(service, kind);
+        if slow && slow_after.is_some_and(|slow_after| elapsed >= slow_after) {
             let usual = self.mean(service, kind);
             self.learn_time(service, kind, elapsed);
             let health = &mut self.servers[server].health;
@@ -151,16 +153,16 @@
             self.timers.push(self.now + linger, Timer::Abandon(key));
             return;
         }
-        self.servers[server].cancels.push_back(key);
+        self.servers[server].queued_cancels.push_back(key);
         self.send_queued_cancels(server, out);
     }
 
-    /// Nobody has waited for a call's end for a while: its connection is closed, which is what ends
-    /// it at a server that takes no cancellations.
+    /// Abandons a call whose portion has had a reply for some time: closes the call's connection,
+    /// the only way to end a call at a server that supports no cancellations.
     ///
-    /// Most calls end before that, and their connections live on. One at a server that hangs would
-    /// otherwise keep its connection to the end of the caller's time, and the server go on working
-    /// for a caller that has left.
+    /// Most calls end before this timer, and their connections stay open. Without the timer a call
+    /// at a hanging server would occupy its connection until the caller's deadline, and the server
+    /// would go on working for a caller that has left.
     pub(super) fn abandon(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
@@ -175,8 +177,9 @@
     }
 }
 
-/// What a reply says of later deliveries of the same key.
-fn state(refused: Refused) -> State {
+/// State to record for a non-idempotent request, given the reply to its portion. Later deliveries
+/// of the same key are checked against this state.
+fn recorded_state(refused: Refused) -> State {
     match (refused.verdict, refused.reason) {
         (Verdict::Ran, _) => State::Ran,
         (Verdict::NotRun, Reason::Cancelled) => State::Withdrawn,
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -73,7 +73,7 @@
     /// Connection of the most recent load report request.
     pub(super) probe_lane: Option<LaneKey>,
     /// Calls to cancel as soon as a connection is idle.
-    pub(super) cancels: VecDeque<AttemptKey>,
+    pub(super) queued_cancels: VecDeque<AttemptKey>,
     /// Requests whose calls broke off recently, each request once, oldest first.
     pub(super) losses: Vec<Loss>,
     /// Reported termination of a process of this server; `None` if none was reported.
@@ -110,7 +110,7 @@
             reopen_at: Instant::default(),
             probe_at: Instant::default(),
             probe_lane: None,
-            cancels: VecDeque::new(),
+            queued_cancels: VecDeque::new(),
             losses: Vec::new(),
             suspicion: None,
         };
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -92,7 +92,7 @@
     pub(super) overdue: BTreeSet<(Instant, PortionKey)>,
     /// Recent maximum of concurrent connections needed to one server.
     pub(super) peak: Peak,
-    /// Index of the next server for round robin.
+    /// Index of the server that is considered first for the next call.
     pub(super) cursor: usize,
     /// Whether the servers accept too few connections for every instance: one instance then sends
     /// all work of the service.
@@ -186,7 +186,7 @@
 
     /// Ends this instance's role of sending work for others when no instance has handed over work
     /// for [`HANDOVER_MEMORY`].
-    pub(super) fn expire(&mut self, now: Instant) {
+    pub(super) fn expire_handover(&mut self, now: Instant) {
         if self.asked.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
             self.asked = None;
             self.apply_extra_call_share();
--- a/crates/core/src/leaf/settings.rs
+++ b/crates/core/src/leaf/settings.rs
@@ -1,29 +1,29 @@
-//! Settings of the machine, by a builder.
+//! Settings of the leaf machine and their builder.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use ladder_schema::settings::Selection;
 
-/// What the machine is given once.
+/// Settings of the leaf machine, fixed at its construction.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this instance; part of every target request's identifier.
     pub(super) name: Arc<str>,
     /// Incarnation of this instance; part of every target request's identifier.
     pub(super) incarnation: u64,
-    /// How a server is chosen. Never `Unspecified`.
+    /// Server selection policy. Never `Unspecified`.
     pub(super) selection: Selection,
-    /// Second copies to another replica.
+    /// Whether slow repeatable calls are hedged with a call to another server.
     pub(super) hedging: bool,
-    /// Hold work beyond the servers' slots in a queue.
+    /// Whether work beyond the servers' slots is queued at this instance.
     pub(super) queueing: bool,
-    /// Ask servers for their load reports.
+    /// Whether servers are asked for load reports.
     pub(super) probing: bool,
-    /// How long a call that nobody waits for may go on before its connection is closed; `None`:
-    /// the server is asked to cancel it.
+    /// Time after which the connection of an abandoned call is closed; `None`: the server is asked
+    /// to cancel the call.
     pub(super) linger: Option<Duration>,
-    /// Connections are opened as work needs them, and not ahead.
+    /// Whether connections are opened on demand rather than ahead of work.
     pub(super) by_need: bool,
     /// Availability zone of this instance.
     pub(super) zone: Arc<str>,
@@ -32,7 +32,7 @@
 }
 
 impl Settings {
-    /// Starts a builder with the chosen policy for the instance of this name and incarnation.
+    /// Creates a builder with the default policy for the instance of this name and incarnation.
     pub fn builder(name: &str, incarnation: u64) -> Builder {
         Builder(Self {
             name: name.into(),
@@ -54,7 +54,7 @@
 pub struct Builder(Settings);
 
 impl Builder {
-    /// How a server is chosen; `Unspecified` means by outcome.
+    /// Sets the server selection policy; `Unspecified` selects by call outcomes.
     #[must_use]
     pub fn selection(mut self, selection: Selection) -> Self {
         self.0.selection = match selection {
@@ -64,40 +64,41 @@
         self
     }
 
-    /// Whether slow repeatable calls get a second copy.
+    /// Sets whether slow repeatable calls are hedged.
     #[must_use]
     pub fn hedging(mut self, on: bool) -> Self {
         self.0.hedging = on;
         self
     }
 
-    /// Whether work beyond the servers' slots waits here.
+    /// Sets whether work beyond the servers' slots is queued at this instance.
     #[must_use]
     pub fn queueing(mut self, on: bool) -> Self {
         self.0.queueing = on;
         self
     }
 
-    /// Whether servers are asked for their load reports.
+    /// Sets whether servers are asked for load reports.
     #[must_use]
     pub fn probing(mut self, on: bool) -> Self {
         self.0.probing = on;
         self
     }
 
-    /// Servers take no cancellations: a call that nobody waits for may go on for this long, and
-    /// then its connection is closed.
+    /// Sets the time after which the connection of an abandoned call is closed, for servers that
+    /// support no cancellations; `None`: the server is asked to cancel the call.
     #[must_use]
     pub fn linger(mut self, linger: Option<Duration>) -> Self {
         self.0.linger = linger;
         self
     }
 
-    /// Whether connections are opened as work needs them, and not ahead.
+    /// Sets whether connections are opened on demand rather than ahead of work.
     ///
-    /// Meant for fleets whose instances nobody publishes: their shares are guesses. After a loss of
-    /// all instances every one of them opened all that it might ever need, each opening held a slot
-    /// of the servers for milliseconds, and hardly a sweep of the next two seconds was in time.
+    /// Intended for fleets without a published list of instances, where connection shares are
+    /// estimates. After a loss of all instances each instance opened all connections that it might
+    /// ever need; each opening occupied a slot of a server for milliseconds, and hardly any sweep
+    /// of the next two seconds was answered in time.
     #[must_use]
     pub fn by_need(mut self, on: bool) -> Self {
         self.0.by_need = on;
@@ -118,7 +119,7 @@
         self
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn build(self) -> Settings {
         self.0
     }
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -1,4 +1,4 @@
-//! What operators may see of the machine.
+//! Status of the leaf machine for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,77 +9,78 @@
 use super::service::Rank;
 use crate::time::Instant;
 
-/// State of a service.
+/// Status of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Unique name.
     pub name: Arc<str>,
-    /// What this instance is to it.
+    /// Role of this instance for the service.
     pub rank: Rank,
-    /// Portions that wait.
+    /// Number of queued portions.
     pub queued: usize,
-    /// Open calls, also those whose portion was replied to.
+    /// Number of open calls, including calls whose portion already has a reply.
     pub in_flight: u32,
-    /// Median of recent call times.
+    /// Median of the service's recent call times.
     pub median: Option<Duration>,
-    /// 99th percentile of recent call times.
+    /// 99th percentile of the service's recent call times.
     pub p99: Option<Duration>,
-    /// Call time after which a second copy is due, once it is learned.
+    /// Call time after which a call is hedged; `None` until enough call times are known.
     pub hedge_delay: Option<Duration>,
-    /// Whole extra calls saved up.
+    /// Number of whole extra calls left in the service's budget.
     pub budget: u32,
-    /// Its servers.
+    /// Servers of the service.
     pub servers: Vec<Server>,
 }
 
-/// Whether a server gets work, and why not.
+/// Whether a server gets work, and the reason if not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It gets work.
+    /// The server gets work.
     Usable,
-    /// It gets less work: it has just started.
+    /// The server gets less work because it has just started.
     Cold,
-    /// It sheds load and is left alone for a moment.
+    /// The server sheds load and gets no work for a short time.
     Shedding,
-    /// Its calls fail; it is tried with single calls.
+    /// The server's calls fail; single trial calls are sent to it.
     Suspect,
-    /// Its calls fail, but so do those of too many others: it gets work.
+    /// The server's calls fail, but so do those of too many other servers: the server still gets
+    /// work.
     Tolerated,
-    /// Some source says that it leaves.
+    /// Some source reported that the server is leaving.
     Leaving,
-    /// Its availability zone is evacuated.
+    /// The server's availability zone is evacuated.
     Evacuated,
-    /// No connection to it can be opened.
+    /// No connection to the server can be opened.
     Unreachable,
-    /// The view lists it no more or allows no connection.
+    /// The current view doesn't list the server or allows no connection to it.
     Unlisted,
 }
 
-/// State of a server.
+/// Status of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
     /// Unique name.
     pub name: Arc<str>,
-    /// Whether it gets work, and why not.
+    /// Whether the server gets work, and the reason if not.
     pub state: State,
-    /// Open calls.
+    /// Number of open calls at the server.
     pub in_flight: u32,
-    /// Requests it works on at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Connections, also those being opened.
+    /// Number of connections to the server, including those being opened.
     pub connections: usize,
-    /// Connections allowed.
+    /// Maximum number of connections to the server.
     pub share: u32,
-    /// Failure rate of recent calls.
+    /// Failure rate of the server's recent calls.
     pub failure_rate: f64,
-    /// Mean call time of recent answers, `None` without any.
+    /// Mean call time of the server's recent answers; `None` without recent answers.
     pub mean: Option<Duration>,
-    /// Age of its last load report.
+    /// Age of the server's latest load report; `None` without a report.
     pub report_age: Option<Duration>,
 }
 
 impl Machine {
-    /// State of all services, in order of name.
+    /// Status of all services, sorted by name.
     pub fn status(&self, now: Instant) -> Vec<Service> {
         let mut services: Vec<Service> =
             self.services.keys().map(|id| self.service_status(id, now)).collect();
--- a/crates/core/src/leaf/timer.rs
+++ b/crates/core/src/leaf/timer.rs
@@ -1,4 +1,4 @@
-//! Points in time at which the machine has something to do.
+//! Timers of the leaf machine.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,30 +9,30 @@
 use super::service::ServiceId;
 use crate::time::Instant;
 
-/// What is due.
+/// Work that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// A portion must be replied to.
+    /// The portion must get a reply now.
     Deadline(PortionKey),
-    /// A portion that still waits cannot be done any more.
+    /// The portion is still queued and can no longer be finished before its deadline.
     Late(PortionKey),
-    /// A portion's first call has taken longer than the service's usual calls.
+    /// The portion's first call has taken longer than the service's usual calls and may be hedged.
     Hedge(PortionKey),
     /// A back-off of one of the service's servers ends.
     Pump(ServiceId),
-    /// Periodic work on a service: load reports, idle connections, old records.
+    /// Periodic maintenance of a service: load reports, idle connections, old records.
     Upkeep(ServiceId),
-    /// A call that nobody waits for is given up.
+    /// The connection of an abandoned call is to be closed.
     Abandon(AttemptKey),
-    /// What a collection has must go back.
+    /// The replies gathered by a partial aggregation must be sent to the entry.
     Collection(CollectionKey),
 }
 
-/// Timers in order of time. Timers of closed portions stay until they reach the top.
+/// Timers in order of time. Timers of closed portions remain in the heap until they reach the top.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     heap: BinaryHeap<Reverse<(Instant, u64, Timer)>>,
-    /// Grows with every timer, so that equal times keep their order of insertion.
+    /// Number of timers added so far; orders equal times by insertion.
     sequence: u64,
 }
 
--- a/crates/core/src/leaf/trace.rs
+++ b/crates/core/src/leaf/trace.rs
@@ -1,4 +1,4 @@
-//! What was decided for one portion, for the log.
+//! Trace of the decisions made for one portion, for the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,77 +12,77 @@
 use super::server::ServerKey;
 use crate::sample;
 
-/// Why a call was made.
+/// Reason for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The first call of a portion.
+    /// First call of a portion.
     First,
-    /// Another one after a call that gave no answer.
+    /// Retry after a call that ended without an answer.
     Retry,
-    /// A second copy beside a call that was slow.
+    /// Hedged call that duplicates a slow open call.
     Copy,
 }
 
-/// How a call ended.
+/// Result of a finished call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// Time from the sending to the end.
+    /// Time from the sending of the call to its end.
     pub took: Duration,
-    /// Whether it may have run.
+    /// Whether the work may have run at a target.
     pub verdict: Verdict,
-    /// Why it gave no answer; unspecified for an answer.
+    /// Reason why the call ended without an answer; unspecified for an answer.
     pub reason: Reason,
 }
 
-/// One call with what it was decided on.
+/// One call with the inputs of the decision to make it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trial {
     pub(super) attempt: AttemptKey,
-    /// Name of the server.
+    /// Name of the server that the call was sent to.
     pub server: Arc<str>,
-    /// Why it was made.
+    /// Reason for the call.
     pub cause: Cause,
-    /// Time from the portion's arrival to the sending.
+    /// Time from the portion's arrival to the sending of the call.
     pub after: Duration,
-    /// Calls of this instance open at the server before it.
+    /// Number of this instance's calls open at the server before this call.
     pub in_flight: u32,
-    /// Failure rate of the server as this instance saw it.
+    /// Failure rate of the server as observed by this instance.
     pub failure_rate: f64,
-    /// Share of calls that the server shed.
+    /// Fraction of calls that the server shed.
     pub shed_rate: f64,
-    /// Age of what was known of the server: time since its last outcome.
+    /// Time since the server's latest outcome: age of the information on the server.
     pub age: Duration,
-    /// Extra calls that the service's budget had left.
+    /// Number of extra calls left in the service's budget.
     pub budget: u32,
-    /// Time left for the portion.
+    /// Time left until the portion's deadline.
     pub left: Duration,
-    /// How it ended; `None` while it is open.
+    /// Result of the call; `None` while the call is open.
     pub end: Option<End>,
 }
 
-/// What was decided for one portion.
+/// Trace of the decisions made for one portion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The request key.
+    /// The request key of the portion.
     pub id: Arc<str>,
-    /// Name of the service.
+    /// Name of the portion's service.
     pub service: Arc<str>,
-    /// Version of the routes or the index that it ran under.
+    /// Version of the routes or the index that the portion ran under.
     pub version: u64,
-    /// Whether it may have run.
+    /// Whether the work may have run at a target.
     pub verdict: Verdict,
-    /// Why it was refused; unspecified for an answer.
+    /// Reason why the portion was refused; unspecified for an answer.
     pub reason: Reason,
-    /// When to come back; zero: no advice.
+    /// Delay after which the entry may retry; zero: no advice.
     pub retry_after: Duration,
-    /// Time from its arrival to its reply.
+    /// Time from the portion's arrival to its reply.
     pub took: Duration,
-    /// Its calls, oldest first.
+    /// Calls of the portion, oldest first.
     pub trials: Vec<Trial>,
 }
 
 impl Machine {
-    /// What a call to a server is decided on now.
+    /// Captures the current inputs of the decision to send a call of a portion to a server.
     pub(super) fn trial(&self, key: PortionKey, to: ServerKey, attempt: AttemptKey) -> Trial {
         let portion = &self.portions[key];
         let server = &self.servers[to];
@@ -99,23 +99,23 @@
             in_flight: server.in_flight,
             failure_rate: server.health.failure_rate(self.now),
             shed_rate: server.health.shed_rate(self.now),
-            age: self.now.since(server.health.seen()),
+            age: self.now.since(server.health.last_outcome_at()),
             budget: self.services[portion.service].budget.calls(),
             left: portion.deadline.since(self.now),
             end: None,
         }
     }
 
-    /// Logs a portion that ended otherwise than by its first call's answer, and of the others those
-    /// that the sample names.
-    pub(super) fn log(
+    /// Logs the portion's trace, unless the portion ended with the answer of its first call and its
+    /// key isn't in the log sample.
+    pub(super) fn log_portion(
         &self,
         portion: &super::portion::Portion,
         refused: Refused,
         out: &mut Vec<Action>,
     ) {
-        let plain = refused.reason == Reason::Unspecified && portion.calls == 1;
-        if plain && !sample::contains(&portion.job.key) {
+        let is_uneventful = refused.reason == Reason::Unspecified && portion.calls == 1;
+        if is_uneventful && !sample::contains(&portion.job.key) {
             return;
         }
         out.push(Action::Log(Box::new(Trace {
