--- a/crates/core/tests/leaf/bed.rs
+++ b/crates/core/tests/leaf/bed.rs
@@ -1,4 +1,4 @@
-//! A machine with one view, a clock and a log of its actions.
+//! Test fixture: a leaf machine with one view, a clock and a log of its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub(crate) const SERVICE: &str = "docks";
 pub(crate) const INDEX: &str = "stations";
 
-/// A call that the machine asked for.
+/// A call that the machine sent.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
     pub(crate) lane: LaneKey,
@@ -26,7 +26,7 @@
 }
 
 impl Sent {
-    /// The answer that fits the request.
+    /// The matching answer to the request.
     pub(crate) fn answer(&self) -> Outcome {
         Outcome::Answer(answer(&self.request, |shard| format!("{shard}: 3 free")))
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// The answer that fits the request, with these bodies of parts.
+/// The matching answer to a request, with the bodies of its parts computed by `body`.
 pub(crate) fn answer(request: &target::Request, body: impl Fn(&str) -> String) -> target::Answer {
     let part =
         |shard: &String| call::Part { shard: shard.clone(), body: body(shard), response: None };
@@ -55,7 +55,8 @@
     Outcome::Refusal(target::Refusal { id, reason, retry_after_ms })
 }
 
-/// The machine under test.
+/// Fixture that holds the machine under test, the current time, the logged actions and the open
+/// connections.
 pub(crate) struct Bed {
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
@@ -72,7 +73,7 @@
     Peer { name: name.into(), address: "127.0.0.1:1".into() }
 }
 
-/// A server with two slots that holds version 1.
+/// A server with two slots that serves index version 1.
 pub(crate) fn server(number: u8) -> Server {
     Server {
         name: format!("docks-{number}").into(),
@@ -113,7 +114,7 @@
     }
 }
 
-/// A service that this instance owns.
+/// A service that the instance under test owns.
 pub(crate) fn service(servers: Vec<Server>) -> Service {
     let candidate = |name: &str, local| Candidate { peer: peer(name), live: true, local };
     Service {
@@ -127,7 +128,7 @@
     }
 }
 
-/// The same with these limits in its catalogue entry.
+/// A service that the instance under test owns, with these limits in its catalogue entry.
 pub(crate) fn limited(limits: Limits, servers: Vec<Server>) -> Service {
     let entry = Entry { limits: Some(limits), ..entry() };
     Service { entry: Arc::new(entry), ..service(servers) }
@@ -139,7 +140,7 @@
     Event::View(Arc::new(view))
 }
 
-/// Work of one portion with a budget of 500 ms.
+/// A work message of one portion with a budget of 500 ms.
 pub(crate) fn work(query: u64, operation: &str) -> wire::Work {
     wire::Work {
         query,
@@ -161,13 +162,13 @@
     }
 }
 
-/// The entry of [`Bed::work`] gives a query up.
+/// Cancellation of a query by the entry instance of [`Bed::work`].
 pub(crate) fn cancel(query: u64) -> Event {
     Event::Cancel { from: "porto-2".into(), cancel: wire::Cancel { query, incarnation: 9 } }
 }
 
 impl Bed {
-    /// A machine that owns the service, without connections yet.
+    /// Creates a fixture whose machine owns the service, without established connections.
     pub(crate) fn cold(settings: Settings, service: Service) -> Self {
         let mut bed = Self {
             machine: Machine::new(settings),
@@ -180,7 +181,8 @@
         bed
     }
 
-    /// A machine that owns a service of two servers, with all its connections open.
+    /// Creates a fixture whose machine owns a service of two servers, with all its connections
+    /// established.
     pub(crate) fn new() -> Self {
         Self::with(settings(), service(vec![server(1), server(2)]))
     }
@@ -206,7 +208,7 @@
         self.log.append(&mut out);
     }
 
-    /// Connects whatever was asked for.
+    /// Establishes every connection that the machine requested.
     pub(crate) fn connect(&mut self) {
         let log = std::mem::take(&mut self.log);
         for action in log {
@@ -217,7 +219,7 @@
         }
     }
 
-    /// Closes whatever is open or opening; returns how many connections that were.
+    /// Closes every established or requested connection; returns the number of closed connections.
     pub(crate) fn close_all(&mut self) -> usize {
         let lanes = std::mem::take(&mut self.opened);
         for (lane, _) in &lanes {
@@ -226,7 +228,7 @@
         lanes.len()
     }
 
-    /// Lets time pass, with ticks at the times the machine asked for.
+    /// Advances the clock and sends ticks at the times that the machine requested.
     pub(crate) fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while let Some(at) = self.machine.next_wake().filter(|at| *at <= end) {
@@ -242,13 +244,13 @@
 
     pub(crate) fn end(&mut self, attempt: AttemptKey, outcome: Outcome) {
         if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
-            let lane = self.lane_of(attempt);
+            let lane = self.connection_of(attempt);
             self.opened.retain(|(open, _)| Some(*open) != lane);
         }
         self.handle(Event::Ended { attempt, outcome });
     }
 
-    /// Clears the log, hands over work and returns its first call.
+    /// Clears the log, delivers work for one query and returns the first call.
     pub(crate) fn ask(&mut self, query: u64, operation: &str) -> Sent {
         self.log.clear();
         self.work(work(query, operation));
@@ -270,52 +272,53 @@
         }
     }
 
-    /// Lets `end` see each call, and those that follow from its ends; returns how many there were.
+    /// Passes each sent call to `end`, including calls that result from those ends; returns the
+    /// number of calls.
     pub(crate) fn each_sent(&mut self, mut end: impl FnMut(&mut Self, &Sent)) -> usize {
-        let mut seen = 0;
-        while let Some(sent) = self.sent().get(seen) {
-            seen += 1;
+        let mut handled = 0;
+        while let Some(sent) = self.sent().get(handled) {
+            handled += 1;
             end(self, sent);
         }
-        seen
+        handled
     }
 
-    /// Hands over sweeps with these query numbers.
+    /// Delivers sweeps with these query numbers.
     pub(crate) fn sweeps(&mut self, queries: impl IntoIterator<Item = u64>) {
         for query in queries {
             self.work(work(query, "sweep"));
         }
     }
 
-    fn lane_of(&self, wanted: AttemptKey) -> Option<LaneKey> {
+    fn connection_of(&self, wanted: AttemptKey) -> Option<LaneKey> {
         self.log.iter().find_map(|action| match action {
             Action::Send { lane, attempt, .. } if *attempt == wanted => Some(*lane),
             _ => None,
         })
     }
 
-    fn logged<T>(&self, pick: impl FnMut(&Action) -> Option<T>) -> Vec<T> {
+    fn filter_log<T>(&self, pick: impl FnMut(&Action) -> Option<T>) -> Vec<T> {
         self.log.iter().filter_map(pick).collect()
     }
 
-    /// Calls asked for since the log was last cleared.
+    /// Calls sent since the log was last cleared.
     pub(crate) fn sent(&self) -> Vec<Sent> {
-        let address = |wanted: &LaneKey| {
+        let address_of = |wanted: &LaneKey| {
             let found = self.opened.iter().find(|(lane, _)| lane == wanted);
             found.map_or_else(|| "closed".into(), |(_, address)| Arc::clone(address))
         };
-        self.logged(|action| match action {
+        self.filter_log(|action| match action {
             Action::Send { lane, attempt, request, .. } => {
-                let (request, address) = (request.clone(), address(lane));
+                let (request, address) = (request.clone(), address_of(lane));
                 Some(Sent { lane: *lane, attempt: *attempt, request, address })
             }
             _ => None,
         })
     }
 
-    /// Replies since the log was last cleared, as verdict and reason.
+    /// Verdict and reason of each reply since the log was last cleared.
     pub(crate) fn replies(&self) -> Vec<(Verdict, Reason)> {
-        self.logged(|action| match action {
+        self.filter_log(|action| match action {
             Action::Reply { reply, .. } => Some((reply.verdict(), reply.reason())),
             _ => None,
         })
@@ -326,7 +329,8 @@
         self.log.iter().filter(|action| **action == wanted).count()
     }
 
-    /// Answers `count` sweeps, `millis` each, one at a time, and clears the log.
+    /// Answers `count` sweeps one at a time after `millis` each, so that the machine learns call
+    /// times, and clears the log.
     pub(crate) fn teach(&mut self, count: usize, millis: u64) {
         for _ in 0..count {
             self.query += 1;
@@ -337,45 +341,45 @@
         self.log.clear();
     }
 
-    /// Lanes of questions for load reports since the log was last cleared.
+    /// Connections of the load report requests since the log was last cleared.
     pub(crate) fn probed(&self) -> Vec<LaneKey> {
-        self.logged(|action| match action {
+        self.filter_log(|action| match action {
             Action::Probe { lane, .. } => Some(*lane),
             _ => None,
         })
     }
 
-    /// When to come back, by the last reply, in milliseconds.
+    /// Retry delay in the latest reply, in milliseconds.
     pub(crate) fn retry_after(&self) -> u32 {
-        let advice = self.logged(|action| match action {
+        let retry_delays = self.filter_log(|action| match action {
             Action::Reply { reply, .. } => Some(reply.retry_after_ms),
             _ => None,
         });
-        *advice.last().expect("a reply")
+        *retry_delays.last().expect("a reply")
     }
 
-    /// Sends 4000 sweeps, one a millisecond, to servers that take `slow` milliseconds a call, and
-    /// returns those that were taken on.
-    pub(crate) fn overload(&mut self, slow: u64) -> Vec<u64> {
+    /// Sends 4000 sweeps, one per millisecond, to servers that take `call_ms` milliseconds per
+    /// call, and returns the queries that were accepted.
+    pub(crate) fn overload(&mut self, call_ms: u64) -> Vec<u64> {
         let mut running: Vec<(Instant, Sent)> = Vec::new();
-        let mut taken = Vec::new();
+        let mut accepted = Vec::new();
         for query in 0..4000 {
             self.log.clear();
             self.work(work(query, "sweep"));
             if self.replies().is_empty() {
-                taken.push(query);
+                accepted.push(query);
             }
-            let due = self.now + Duration::from_millis(slow);
+            let due = self.now + Duration::from_millis(call_ms);
             running.extend(self.sent().into_iter().map(|sent| (due, sent)));
             self.advance(1);
-            let done: Vec<_> = running.extract_if(.., |(due, _)| *due <= self.now).collect();
-            for (_, sent) in done {
+            let finished: Vec<_> = running.extract_if(.., |(due, _)| *due <= self.now).collect();
+            for (_, sent) in finished {
                 self.log.clear();
                 self.answer(&sent);
-                let due = self.now + Duration::from_millis(slow);
+                let due = self.now + Duration::from_millis(call_ms);
                 running.extend(self.sent().into_iter().map(|sent| (due, sent)));
             }
         }
-        taken
+        accepted
     }
 }
--- a/crates/core/tests/leaf/lanes.rs
+++ b/crates/core/tests/leaf/lanes.rs
@@ -1,4 +1,4 @@
-//! Connections: how many, when opened, when closed.
+//! Pooled connections: number, opening and closing.
 
 use std::time::Duration;
 
@@ -9,12 +9,13 @@
 
 use crate::bed::{Bed, server, service, settings, view, work};
 
-fn shared(share: u32) -> Server {
+fn server_with_share(share: u32) -> Server {
     Server { share, ..server(1) }
 }
 
-/// The service with this instance as the candidate of the given place, the earlier ones live or not.
-fn ranked(place: usize, live: bool) -> Service {
+/// The service with this instance at index `place` of the candidates; `live` tells whether the
+/// earlier candidates are live.
+fn service_with_earlier_candidates(place: usize, live: bool) -> Service {
     let mut service = service(vec![server(1)]);
     let own = service.candidates[0].clone();
     let mut other = service.candidates[1].clone();
@@ -24,9 +25,10 @@
     service
 }
 
-/// Connections that are opened ahead, before any work.
+/// Guards against a wrong number of connections opened ahead of work, for each role of the
+/// instance.
 #[test]
-fn connections_opened_ahead() {
+fn connections_opened_ahead_match_role_and_share() {
     struct Case {
         name: &'static str,
         service: Service,
@@ -34,12 +36,12 @@
     }
     let case = |name, service, connections| Case { name, service, connections };
     let cases = [
-        case("owner", service(vec![shared(6)]), 4),
-        case("owner with a small share", service(vec![shared(3)]), 3),
-        case("owner without a share", service(vec![shared(0)]), 0),
-        case("next", ranked(1, true), 1),
-        case("spare", ranked(2, true), 0),
-        case("owner since the first is dead", ranked(1, false), 4),
+        case("owner", service(vec![server_with_share(6)]), 4),
+        case("owner with a small share", service(vec![server_with_share(3)]), 3),
+        case("owner without a share", service(vec![server_with_share(0)]), 0),
+        case("next", service_with_earlier_candidates(1, true), 1),
+        case("spare", service_with_earlier_candidates(2, true), 0),
+        case("owner since the first is dead", service_with_earlier_candidates(1, false), 4),
     ];
     for case in cases {
         let bed = Bed::with(settings(), case.service);
@@ -47,11 +49,12 @@
     }
 }
 
-/// The owner is cut off and entries turn to the next candidate, whose membership still calls the
-/// owner live. It must work with its own share at once, and give the connections back later.
+/// The owner is unreachable and entry instances switch to the next candidate, whose membership
+/// still considers the owner alive. That candidate must immediately use its own connection share,
+/// and close the connections later.
 #[test]
-fn next_candidate_opens_connections_for_work_and_closes_them_later() {
-    let mut bed = Bed::with(settings(), ranked(1, true));
+fn first_fallback_owner_opens_connections_for_work_and_closes_them_later() {
+    let mut bed = Bed::with(settings(), service_with_earlier_candidates(1, true));
     bed.sweeps(0..3);
     bed.connect();
     assert_eq!(bed.opened.len(), 4);
@@ -67,14 +70,14 @@
     assert_eq!(bed.opened.len(), 1);
 }
 
-/// The platform publishes more instances and every share shrinks. Connections above it must go,
-/// but not by cutting a call.
+/// The platform publishes more instances, so every connection share shrinks. Connections beyond the
+/// share must be closed, but not while they carry a call.
 #[test]
 fn smaller_share_closes_idle_connections_only() {
-    let mut bed = Bed::with(settings(), service(vec![shared(6)]));
+    let mut bed = Bed::with(settings(), service(vec![server_with_share(6)]));
     bed.work(work(1, "sweep"));
     bed.work(work(2, "sweep"));
-    bed.handle(view(service(vec![shared(1)])));
+    bed.handle(view(service(vec![server_with_share(1)])));
     assert_eq!(bed.opened.len(), 2);
     let sent = bed.sent();
     bed.answer(&sent[0]);
@@ -84,7 +87,7 @@
 }
 
 /// A call timed out. Its answer may still arrive on the connection and would be taken for the next
-/// request's; the connection is replaced.
+/// request's answer, so the connection must be replaced.
 #[test]
 fn connection_of_a_lost_call_is_replaced() {
     for outcome in [Outcome::Lost, Outcome::Error, Outcome::Unsent] {
@@ -102,9 +105,10 @@
     }
 }
 
-/// A server is down. Opening all connections again and again would flood it when it comes back.
+/// A server is down. Reopening all connections without delay would flood the server when it
+/// restarts.
 #[test]
-fn reopening_backs_off() {
+fn failed_connections_are_reopened_with_growing_delay() {
     let mut bed = Bed::cold(settings(), service(vec![server(1)]));
     let mut opens = 0;
     for _ in 0..1000 {
@@ -115,33 +119,35 @@
 }
 
 #[test]
-fn another_address_is_another_server() {
+fn changed_address_replaces_the_connections() {
     let mut bed = Bed::with(settings(), service(vec![server(1)]));
-    let moved = Server { address: "10.0.0.9:80".into(), ..server(1) };
-    bed.handle(view(service(vec![moved])));
+    let server_with_new_address = Server { address: "10.0.0.9:80".into(), ..server(1) };
+    bed.handle(view(service(vec![server_with_new_address])));
     assert!(bed.opened.iter().all(|(_, address)| &**address == "10.0.0.9:80"));
     assert_eq!(bed.opened.len(), 4);
 }
 
-/// Servers whose connections are few could not be reached for a while, and then they could. Whoever was
-/// asked for their parts refused these for ever: while no connection opens, work is refused before it is
-/// queued, and without work in the queue none was opened. On a day of a new set of shards 1,119 of 1,481
-/// sweeps failed to its end, 12,111 parts refused by one instance. By its lines: CONNECT_FAILED only.
+/// Guards against permanent refusals after servers were unreachable for a while. Where servers
+/// accept few connections, none is opened without queued work; and while no connection opens, work
+/// is refused before it is queued. In one run 1,119 of 1,481 sweeps failed until the end, with
+/// 12,111 portions refused by one instance, all with CONNECT_FAILED.
 #[test]
-fn connections_are_tried_again_where_they_are_few() {
-    let few = Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
-    let asker = Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
-    let mut bed = Bed::cold(asker, few);
-    let mut asked = 0;
-    let mut ask = |bed: &mut Bed| {
-        asked += 1;
+fn scarce_connections_are_retried_while_work_arrives() {
+    let scarce_service =
+        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let by_need_settings =
+        Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
+    let mut bed = Bed::cold(by_need_settings, scarce_service);
+    let mut last_query = 0;
+    let mut send_sweep = |bed: &mut Bed| {
+        last_query += 1;
         bed.log.clear();
-        bed.work(work(asked, "sweep"));
+        bed.work(work(last_query, "sweep"));
         bed.replies().first().copied()
     };
     let mut refused = false;
     for _ in 0..100 {
-        refused |= ask(&mut bed) == Some((Verdict::NotRun, Reason::ConnectFailed));
+        refused |= send_sweep(&mut bed) == Some((Verdict::NotRun, Reason::ConnectFailed));
         bed.close_all();
         bed.advance(100);
         bed.close_all();
@@ -149,25 +155,28 @@
     assert!(refused, "nothing can be reached");
     let mut served = false;
     for _ in 0..100 {
-        ask(&mut bed);
+        send_sweep(&mut bed);
         bed.advance(100);
         bed.connect();
         served |= !bed.sent().is_empty();
         bed.answer_all(bed.sent());
     }
     assert!(served, "they can be reached again");
-    // Nobody asks any more: what was opened is given back.
+    // Without further work, the connections must be closed.
     bed.advance(30_000);
     assert_eq!(bed.opened.len(), 0, "no connection without work");
 }
 
-/// The servers of a shard are gone while connections are few, and another instance asks for its parts by
-/// now. Each of 195 instances that had ever failed to reach them tried on for good, without work.
+/// Guards against endless connection attempts without work. The servers of a shard are gone, and
+/// another instance sends the shard's work by now: each of 195 instances that had ever failed to
+/// reach these servers went on trying.
 #[test]
-fn servers_that_nobody_asks_for_are_not_tried_on() {
-    let few = Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
-    let asker = Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
-    let mut bed = Bed::cold(asker, few);
+fn unreachable_servers_without_work_are_not_retried() {
+    let scarce_service =
+        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let by_need_settings =
+        Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
+    let mut bed = Bed::cold(by_need_settings, scarce_service);
     bed.work(work(1, "sweep"));
     let mut opened = 0;
     for round in 0..600 {
@@ -178,38 +187,41 @@
     assert_eq!(opened, 0, "after ten seconds without work");
 }
 
-/// All instances lose their power at once. Servers go on counting the connections of the dead for ten
-/// seconds and reset the new ones. The one that asks them for all had paused ever longer by then, and its
-/// sweeps failed for five more seconds although the servers took connections again.
+/// All instances lose power at once. The servers go on counting the connections of the lost
+/// instances for ten seconds and reset new ones. By then the reopen delay of the instance that
+/// sends all work had grown, and its sweeps failed for five more seconds although the servers
+/// accepted connections again.
 #[test]
-fn servers_that_take_connections_again_are_found_out_in_time() {
-    let few = Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
-    let mut late = Vec::new();
+fn recovered_servers_are_reconnected_within_1500_ms() {
+    let scarce_service =
+        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let mut too_late = Vec::new();
     for seed in 0..20 {
-        let asker = Settings::builder("porto-1", 7).seed(seed).by_need(true).probing(false).build();
-        let mut bed = Bed::cold(asker, few.clone());
-        let mut asked = 0;
-        let mut ask = |bed: &mut Bed| {
-            asked += 1;
+        let by_need_settings =
+            Settings::builder("porto-1", 7).seed(seed).by_need(true).probing(false).build();
+        let mut bed = Bed::cold(by_need_settings, scarce_service.clone());
+        let mut last_query = 0;
+        let mut send_sweep = |bed: &mut Bed| {
+            last_query += 1;
             bed.log.clear();
-            bed.work(work(asked, "sweep"));
+            bed.work(work(last_query, "sweep"));
         };
         for _ in 0..200 {
-            ask(&mut bed);
+            send_sweep(&mut bed);
             bed.close_all();
             bed.advance(50);
             bed.close_all();
         }
-        let back = bed.now;
+        let recovered_at = bed.now;
         while bed.sent().is_empty() {
-            ask(&mut bed);
+            send_sweep(&mut bed);
             bed.advance(50);
             bed.connect();
         }
-        let after = bed.now.since(back);
-        if after > Duration::from_millis(1500) {
-            late.push((seed, after));
+        let delay = bed.now.since(recovered_at);
+        if delay > Duration::from_millis(1500) {
+            too_late.push((seed, delay));
         }
     }
-    assert!(late.is_empty(), "seed, served after: {late:?}");
+    assert!(too_late.is_empty(), "seed, served after: {too_late:?}");
 }
--- a/crates/core/tests/leaf/open.rs
+++ b/crates/core/tests/leaf/open.rs
@@ -1,4 +1,4 @@
-//! Calls that are open at a bed, for tests that end them in any order.
+//! Open calls of a test fixture, for property tests that end calls in any order.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::bed::{Bed, Sent};
 
-/// How a call ends.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 pub(crate) enum End {
@@ -18,20 +18,20 @@
     Shed,
 }
 
-/// Open calls, with the servers of all connections so far.
+/// Open calls of a fixture, and the server address of every connection opened so far.
 #[derive(Default)]
 pub(crate) struct Open {
-    servers: Map<LaneKey, Arc<str>>,
-    calls: Vec<Sent>,
+    server_by_connection: Map<LaneKey, Arc<str>>,
+    open_calls: Vec<Sent>,
 }
 
 impl Open {
-    /// Ends one of the calls, if any is open.
+    /// Ends one of the open calls, if there are any; `at` selects the call.
     pub(crate) fn end(&mut self, bed: &mut Bed, at: u8, end: End) {
-        if self.calls.is_empty() {
+        if self.open_calls.is_empty() {
             return;
         }
-        let sent = self.calls.remove(usize::from(at) % self.calls.len());
+        let sent = self.open_calls.remove(usize::from(at) % self.open_calls.len());
         let outcome = match end {
             End::Answered => sent.answer(),
             End::Lost => Outcome::Lost,
@@ -40,18 +40,21 @@
         bed.end(sent.attempt, outcome);
     }
 
-    /// Notes the connections of the bed; those that it closes meanwhile are not lost.
+    /// Records the servers of the fixture's connections, so that calls on connections that the
+    /// fixture closes later can still be assigned to their servers.
     pub(crate) fn note(&mut self, bed: &Bed) {
-        self.servers.extend(bed.opened.iter().cloned());
+        self.server_by_connection.extend(bed.opened.iter().cloned());
     }
 
-    /// Takes the calls since the log was last cleared; gives the addresses of their servers.
+    /// Adds the calls sent since the fixture's log was last cleared, and returns the addresses of
+    /// their servers.
     pub(crate) fn take(&mut self, bed: &Bed) -> Vec<Arc<str>> {
         self.note(bed);
         let sent = bed.sent();
-        let servers = sent.iter().map(|sent| Arc::clone(&self.servers[&sent.lane])).collect();
-        self.calls.extend(sent);
-        self.calls.retain(|sent| bed.opened.iter().any(|(lane, _)| *lane == sent.lane));
-        servers
+        let addresses =
+            sent.iter().map(|sent| Arc::clone(&self.server_by_connection[&sent.lane])).collect();
+        self.open_calls.extend(sent);
+        self.open_calls.retain(|sent| bed.opened.iter().any(|(lane, _)| *lane == sent.lane));
+        addresses
     }
 }
--- a/crates/core/tests/leaf/property.rs
+++ b/crates/core/tests/leaf/property.rs
@@ -1,4 +1,4 @@
-//! Any order of events keeps the promises.
+//! Property test: any order of events keeps the invariants of the leaf machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use ladder_core::view::Server;
 
 use crate::bed;
-use crate::world::{Call, Lane, World, name};
+use crate::world::{Call, Lane, Model, payload};
 
-/// How a call ends.
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum End {
@@ -29,7 +29,7 @@
     Unsent,
 }
 
-/// One step. Numbers choose among what there is.
+/// One step of a random session. Numbers select among what currently exists.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
 enum Step {
@@ -49,21 +49,22 @@
 
 struct Run {
     machine: Machine,
-    world: World,
+    model: Model,
 }
 
 impl Run {
     fn new() -> Self {
         let settings = Settings::builder("porto-1", 7).seed(3).build();
         let servers = vec![bed::server(1), bed::server(2), bed::server(3)];
-        let world = World::new(Instant::from_millis(1000), servers);
-        let mut run = Self { machine: Machine::new(settings), world };
+        let model = Model::new(Instant::from_millis(1000), servers);
+        let mut run = Self { machine: Machine::new(settings), model };
         run.publish();
         run.teach();
         run
     }
 
-    /// Answers enough sweeps of 5 ms that call times are learned and second copies are paid for.
+    /// Answers enough sweeps of 5 ms for call times to be learned and for a budget for hedged
+    /// calls.
     fn teach(&mut self) {
         for number in 0..100 {
             self.step(Step::Connect(number));
@@ -75,12 +76,12 @@
 
     fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.machine.handle(self.world.now, event, &mut out);
-        self.world.check(&out);
+        self.machine.handle(self.model.now, event, &mut out);
+        self.model.check(&out);
     }
 
     fn publish(&mut self) {
-        let servers = self.world.servers.clone();
+        let servers = self.model.servers.clone();
         self.handle(bed::view(bed::service(servers)));
     }
 
@@ -90,13 +91,13 @@
                 self.work(query, round, operation, attempt, budget);
             }
             Step::Cancel { query } => self.handle(bed::cancel(u64::from(query % 16))),
-            Step::Connect(which) => self.connect(which),
-            Step::Drop(which) => self.drop_lane(which),
+            Step::Connect(which) => self.complete_connection(which),
+            Step::Drop(which) => self.close_connection(which),
             Step::End(which, end) => self.end(which, end),
             Step::Load { server, cold } => self.load(server, cold),
-            Step::Share(which, share) => self.change(which, |s| s.share = u32::from(share % 8)),
-            Step::Slots(which, slots) => self.change(which, |s| s.slots = 1 + u32::from(slots % 3)),
-            Step::Leave(which) => self.change(which, |s| s.leaving = true),
+            Step::Share(which, share) => self.update(which, |s| s.share = u32::from(share % 8)),
+            Step::Slots(which, slots) => self.update(which, |s| s.slots = 1 + u32::from(slots % 3)),
+            Step::Leave(which) => self.update(which, |s| s.leaving = true),
             Step::Pause(steps) => self.pause(steps),
             Step::Wait(steps) => self.wait(Duration::from_millis(u64::from(steps))),
             Step::Drain => self.handle(Event::Drain),
@@ -115,71 +116,71 @@
             key: format!("key-{}", query % 8),
             attempt: attempt.into(),
             budget_us: u64::from(budget) * 2000,
-            payload: name(query, round),
+            payload: payload(query, round),
             ..bed::work(query, operation)
         };
-        self.world.deliver(&work);
+        self.model.deliver(&work);
         self.handle(Event::Work { from: bed::peer("porto-2"), incarnation: 9, work });
     }
 
-    fn connect(&mut self, which: u8) {
-        let waits = |state: &Lane| matches!(state, Lane::Opening | Lane::Control);
-        if let Some(lane) = self.lane(which, waits) {
-            self.world.set(lane, Lane::Idle);
-            self.handle(Event::Opened(lane));
+    fn complete_connection(&mut self, which: u8) {
+        let is_pending = |state: &Lane| matches!(state, Lane::Opening | Lane::Control);
+        if let Some(connection) = self.pick_connection(which, is_pending) {
+            self.model.set_state(connection, Lane::Idle);
+            self.handle(Event::Opened(connection));
         }
     }
 
-    fn drop_lane(&mut self, which: u8) {
-        if let Some(lane) = self.lane(which, |state| *state != Lane::Busy) {
-            self.world.lanes.remove(&lane);
-            self.handle(Event::Closed(lane));
+    fn close_connection(&mut self, which: u8) {
+        if let Some(connection) = self.pick_connection(which, |state| *state != Lane::Busy) {
+            self.model.lanes.remove(&connection);
+            self.handle(Event::Closed(connection));
         }
     }
 
-    fn lane(&self, which: u8, fits: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
-        let lanes = self.world.lanes.iter().filter(|(_, (_, state))| fits(state));
-        let lanes: Vec<LaneKey> = lanes.map(|(lane, _)| *lane).collect();
+    fn pick_connection(&self, which: u8, matches: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
+        let lanes = self.model.lanes.iter().filter(|(_, (_, state))| matches(state));
+        let lanes: Vec<LaneKey> = lanes.map(|(connection, _)| *connection).collect();
         lanes.get(usize::from(which) % lanes.len().max(1)).copied()
     }
 
     fn end(&mut self, which: u8, end: End) {
-        let calls: Vec<AttemptKey> = self.world.calls.keys().copied().collect();
+        let calls: Vec<AttemptKey> = self.model.calls.keys().copied().collect();
         let Some(attempt) = calls.get(usize::from(which) % calls.len().max(1)).copied() else {
             return;
         };
-        let outcome = outcome(&self.world.calls[&attempt], end);
-        let call = self.world.end(attempt, &outcome);
+        let outcome = outcome(&self.model.calls[&attempt], end);
+        let call = self.model.end(attempt, &outcome);
         self.handle(Event::Ended { attempt, outcome });
-        assert!(!self.world.calls.values().any(|other| other.request.id == call.request.id));
+        assert!(!self.model.calls.values().any(|other| other.request.id == call.request.id));
     }
 
     fn load(&mut self, which: u8, cold: bool) {
-        let server = &self.world.servers[usize::from(which % 3)];
+        let server = &self.model.servers[usize::from(which % 3)];
         let load =
             target::Load { cold, incarnation: server.incarnation, ..target::Load::default() };
         let server = Arc::clone(&server.name);
         self.handle(Event::Load { server, load: Some(load) });
     }
 
-    fn change(&mut self, which: u8, change: impl Fn(&mut Server)) {
-        change(&mut self.world.servers[usize::from(which % 3)]);
+    fn update(&mut self, which: u8, change: impl Fn(&mut Server)) {
+        change(&mut self.model.servers[usize::from(which % 3)]);
         self.publish();
     }
 
     fn pause(&mut self, steps: u8) {
-        let gap = Duration::from_millis(u64::from(steps) * 4);
-        self.world.suspend(gap);
-        self.handle(Event::Paused(gap));
+        let pause_length = Duration::from_millis(u64::from(steps) * 4);
+        self.model.pause(pause_length);
+        self.handle(Event::Paused(pause_length));
     }
 
     fn wait(&mut self, span: Duration) {
-        let end = self.world.now + span;
+        let end = self.model.now + span;
         while let Some(at) = self.machine.next_wake().filter(|at| *at <= end) {
-            self.world.now = self.world.now.max(at);
+            self.model.now = self.model.now.max(at);
             self.handle(Event::Tick);
         }
-        self.world.now = end;
+        self.model.now = end;
     }
 }
 
@@ -204,7 +205,7 @@
 }
 
 #[test]
-fn any_order_of_events_keeps_the_promises() {
+fn any_order_of_events_keeps_the_invariants() {
     ladder_property::check_short(500, 4096)
         .with_generator(bolero::produce::<Vec<Step>>().with().len(0_usize..=400))
         .for_each(|steps| {
@@ -214,13 +215,14 @@
             }
             run.wait(Duration::from_secs(61));
             assert_eq!(run.machine.open(), 0);
-            run.world.check_all_replied();
+            run.model.check_all_replied();
         });
 }
 
-/// The property above says nothing when its sessions never get as far as a call.
+/// Guards against a property test that passes without testing: its sessions must reach answered
+/// calls.
 #[test]
-fn long_sessions_reach_answers() {
+fn random_sessions_reach_answered_calls() {
     let mut run = Run::new();
     for number in 0..200_u8 {
         run.step(Step::Connect(number));
@@ -228,5 +230,5 @@
         run.step(Step::End(number, End::Answer));
     }
     run.wait(Duration::from_secs(1));
-    assert!(run.world.replies > 30, "{} replies", run.world.replies);
+    assert!(run.model.replies > 30, "{} replies", run.model.replies);
 }
--- a/crates/core/tests/leaf/servers.rs
+++ b/crates/core/tests/leaf/servers.rs
@@ -1,4 +1,4 @@
-//! Choice of servers: leaving, retired versions, shedding, failing, cold.
+//! Server selection: leaving, retired index versions, shedding, failing and cold servers.
 
 use ladder_core::leaf::Event;
 use ladder_core::leaf::event::Outcome;
@@ -9,30 +9,31 @@
 
 use crate::bed::{Bed, Sent, holding, server, service, settings, view, work};
 
-fn load(server: &str, load: target::Load) -> Event {
+fn load_event(server: &str, load: target::Load) -> Event {
     Event::Load { server: server.into(), load: Some(load) }
 }
 
-fn report(incarnation: u64) -> target::Load {
+fn load_report(incarnation: u64) -> target::Load {
     target::Load { incarnation, ..target::Load::default() }
 }
 
-fn state(bed: &Bed, name: &str) -> State {
+fn server_state(bed: &Bed, name: &str) -> State {
     let status = bed.machine.status(bed.now);
     let found = status[0].servers.iter().find(|server| &*server.name == name);
     found.expect("a server").state
 }
 
-/// Sends and answers sweeps of 10 ms, three at once; the calls to this address end as told.
-fn drive(bed: &mut Bed, sweeps: u64, address: &str, outcome: fn(&Sent) -> Outcome) -> usize {
-    let mut there = 0;
+/// Sends sweeps of 10 ms, three at a time, and answers them, except that calls to `address` end
+/// with `outcome`. Returns the number of calls to `address`.
+fn run_sweeps(bed: &mut Bed, sweeps: u64, address: &str, outcome: fn(&Sent) -> Outcome) -> usize {
+    let mut calls_to_address = 0;
     for query in 0..sweeps {
-        for copy in 0..3 {
-            bed.work(work(1000 * bed.now.as_micros() + 3 * query + copy, "sweep"));
+        for number in 0..3 {
+            bed.work(work(1000 * bed.now.as_micros() + 3 * query + number, "sweep"));
         }
         bed.each_sent(|bed, sent| {
             if &*sent.address == address {
-                there += 1;
+                calls_to_address += 1;
                 bed.end(sent.attempt, outcome(sent));
             } else {
                 bed.advance(10);
@@ -42,58 +43,59 @@
         });
         bed.log.clear();
     }
-    there
+    calls_to_address
 }
 
-/// Which source says that docks-1 leaves.
+/// Source that reports docks-1 as leaving.
 #[derive(Clone, Copy, Debug)]
-enum Source {
+enum LeavingSource {
     View,
     Report,
     Refusal,
 }
 
-/// A server leaves. One source knows it, the others lag and go on calling it live. New work sent
-/// there is refused or cut when it goes.
+/// A server leaves; one source reports it, the others lag and still report the server as live. New
+/// work sent to the server would be refused, or lost when the server terminates.
 #[test]
-fn leaving_from_any_source_wins() {
-    for source in [Source::View, Source::Report, Source::Refusal] {
+fn server_reported_leaving_by_any_source_gets_no_work() {
+    for source in [LeavingSource::View, LeavingSource::Report, LeavingSource::Refusal] {
         let mut bed = Bed::new();
         match source {
-            Source::View => {
+            LeavingSource::View => {
                 let leaving = Server { leaving: true, ..server(1) };
                 bed.handle(view(service(vec![leaving, server(2)])));
             }
-            Source::Report => {
-                let leaving = target::Load { leaving: true, ..report(1) };
-                bed.handle(load("docks-1", leaving));
+            LeavingSource::Report => {
+                let leaving = target::Load { leaving: true, ..load_report(1) };
+                bed.handle(load_event("docks-1", leaving));
             }
-            Source::Refusal => {
+            LeavingSource::Refusal => {
                 let refusal = |sent: &Sent| sent.refusal(Reason::TargetLeaving, 0);
-                drive(&mut bed, 2, "10.0.0.1:80", refusal);
+                run_sweeps(&mut bed, 2, "10.0.0.1:80", refusal);
             }
         }
         bed.handle(view(service(vec![server(1), server(2)])));
-        bed.handle(load("docks-1", report(1)));
-        assert_eq!(state(&bed, "docks-1"), State::Leaving, "{source:?}");
+        bed.handle(load_event("docks-1", load_report(1)));
+        assert_eq!(server_state(&bed, "docks-1"), State::Leaving, "{source:?}");
         let open = bed.opened.iter().filter(|(_, address)| &**address == "10.0.0.1:80");
         assert_eq!(open.count(), 0, "{source:?}");
-        let there = drive(&mut bed, 10, "10.0.0.1:80", Sent::answer);
-        assert_eq!(there, 0, "{source:?}");
+        let calls_to_leaving = run_sweeps(&mut bed, 10, "10.0.0.1:80", Sent::answer);
+        assert_eq!(calls_to_leaving, 0, "{source:?}");
 
-        let started = Server { incarnation: 2, ..server(1) };
-        bed.handle(view(service(vec![started, server(2)])));
-        assert_eq!(state(&bed, "docks-1"), State::Usable, "{source:?}");
+        let restarted = Server { incarnation: 2, ..server(1) };
+        bed.handle(view(service(vec![restarted, server(2)])));
+        assert_eq!(server_state(&bed, "docks-1"), State::Usable, "{source:?}");
     }
 }
 
 #[test]
-fn without_servers_work_is_refused_at_once() {
-    let gone = |leaving, version| Server { leaving, holdings: vec![holding(version)], ..server(1) };
+fn work_without_usable_servers_is_refused_at_once() {
+    let unusable =
+        |leaving, version| Server { leaving, holdings: vec![holding(version)], ..server(1) };
     let cases = [
         (vec![], Reason::NoServer),
-        (vec![gone(true, 1)], Reason::NoServer),
-        (vec![gone(false, 2)], Reason::VersionRetired),
+        (vec![unusable(true, 1)], Reason::NoServer),
+        (vec![unusable(false, 2)], Reason::VersionRetired),
     ];
     for (servers, reason) in cases {
         let mut bed = Bed::with(settings(), service(servers));
@@ -102,10 +104,10 @@
     }
 }
 
-/// The servers drop the pinned version while queries run. The entry must hear at once that no
-/// replica serves it, so that it can restart the query on the newer version.
+/// The servers drop the requested index version while queries run. The entry must be notified at
+/// once that no replica serves the version, so that it can restart the query on the newer one.
 #[test]
-fn version_retired_midway() {
+fn version_retired_by_all_servers_refuses_the_portion() {
     let mut bed = Bed::new();
     bed.work(work(1, "sweep"));
     for call in 0..2 {
@@ -117,34 +119,34 @@
 }
 
 #[test]
-fn reported_version_is_used_before_it_is_published() {
+fn version_in_a_load_report_is_used_before_its_publication() {
     let mut bed = Bed::new();
-    let loaded = target::Load { holdings: vec![holding(2)], ..report(1) };
-    bed.handle(load("docks-2", loaded));
+    let with_version_2 = target::Load { holdings: vec![holding(2)], ..load_report(1) };
+    bed.handle(load_event("docks-2", with_version_2));
     bed.work(wire::Work { version: 2, ..work(1, "sweep") });
     assert_eq!(&*bed.sent()[0].address, "10.0.0.2:80");
 }
 
-/// A server answers every call with an error at once and reports that it is idle. By its call times
-/// and its load it would be the best choice and would attract all work.
+/// A server immediately answers every call with an error and reports that it is idle. Judged by
+/// call times and load it would be the best choice and attract all work.
 #[test]
-fn fast_errors_attract_nothing() {
+fn server_with_fast_errors_becomes_suspect_and_recovers() {
     let mut bed = Bed::new();
     bed.teach(50, 10);
-    let there = drive(&mut bed, 100, "10.0.0.1:80", |_| Outcome::Error);
-    assert!((3..=25).contains(&there), "{there} calls at the failing server");
-    assert_eq!(state(&bed, "docks-1"), State::Suspect);
+    let calls = run_sweeps(&mut bed, 100, "10.0.0.1:80", |_| Outcome::Error);
+    assert!((3..=25).contains(&calls), "{calls} calls at the failing server");
+    assert_eq!(server_state(&bed, "docks-1"), State::Suspect);
 
     bed.advance(10_000);
     bed.connect();
-    let there = drive(&mut bed, 100, "10.0.0.1:80", Sent::answer);
-    assert!(there > 50, "{there} calls at the recovered server");
-    assert_eq!(state(&bed, "docks-1"), State::Usable);
+    let calls = run_sweeps(&mut bed, 100, "10.0.0.1:80", Sent::answer);
+    assert!(calls > 50, "{calls} calls at the recovered server");
+    assert_eq!(server_state(&bed, "docks-1"), State::Usable);
 }
 
-/// One call at a server has failed. While the other is idle it is the better choice.
+/// One call at a server has failed. While the other server is idle, it is the better choice.
 #[test]
-fn one_failure_makes_the_other_server_the_better_choice() {
+fn after_one_failure_the_other_idle_server_is_selected() {
     let mut bed = Bed::new();
     bed.teach(50, 10);
     for query in 0..20 {
@@ -164,10 +166,10 @@
     }
 }
 
-/// The network of this instance fails and every call is lost. Were all servers held back, nothing
-/// would be sent any more and the recovery would go unnoticed.
+/// The network of this instance fails and every call is lost. If all servers were avoided as
+/// suspect, nothing would be sent any more and the recovery would go unnoticed.
 #[test]
-fn never_more_than_half_are_suspect() {
+fn at_most_half_of_the_servers_are_suspect() {
     let mut bed = Bed::with(settings(), service((1..=5).map(server).collect()));
     for query in 0..60 {
         bed.work(work(query, "sweep"));
@@ -183,30 +185,31 @@
     assert_eq!(bed.sent().len(), 1);
 }
 
-/// A server sheds and says when to come back. Asking it again before that adds to its trouble.
+/// A server sheds and asks for a retry delay. Calling it before the delay has passed would add to
+/// its overload.
 #[test]
-fn shedding_server_is_left_alone() {
+fn shedding_server_gets_no_calls_during_its_retry_delay() {
     let mut bed = Bed::new();
     let shed = |sent: &Sent| sent.refusal(Reason::TargetShed, 300);
-    let there = drive(&mut bed, 8, "10.0.0.1:80", shed);
-    assert!(there <= 2, "{there} calls at the shedding server");
-    assert_eq!(state(&bed, "docks-1"), State::Shedding);
+    let calls = run_sweeps(&mut bed, 8, "10.0.0.1:80", shed);
+    assert!(calls <= 2, "{calls} calls at the shedding server");
+    assert_eq!(server_state(&bed, "docks-1"), State::Shedding);
     bed.advance(400);
-    assert!(drive(&mut bed, 20, "10.0.0.1:80", Sent::answer) > 0);
+    assert!(run_sweeps(&mut bed, 20, "10.0.0.1:80", Sent::answer) > 0);
 }
 
-/// One server sheds all it gets, without advice; both slots of the other are busy for a while. A
-/// commuter's sweep would miss these docks although the busy server has them in time: it went back
-/// to the shedding server after each short pause until its tries were used up.
+/// One server sheds all its calls without a retry delay, and both slots of the other server are
+/// busy for a while. A sweep must wait for the busy server, which can answer in time, and must not
+/// use up its attempts at the shedding server.
 #[test]
-fn work_that_was_shed_waits_for_the_busy_replica() {
+fn shed_work_waits_for_the_busy_replica() {
     let mut bed = Bed::new();
     bed.sweeps(1..=4);
-    let mut ended = 0;
+    let mut seen = 0;
     for step in 0..40 {
-        for sent in bed.sent().split_off(ended) {
+        for sent in bed.sent().split_off(seen) {
             let shedding = &*sent.address == "10.0.0.1:80";
-            ended += 1;
+            seen += 1;
             if shedding {
                 bed.end(sent.attempt, sent.refusal(Reason::TargetShed, 0));
             }
@@ -223,7 +226,7 @@
 }
 
 #[test]
-fn all_servers_shedding_past_the_deadline_refuses_with_advice() {
+fn shedding_beyond_the_deadline_refuses_with_retry_delay() {
     let mut bed = Bed::new();
     bed.work(work(1, "sweep"));
     for call in 0..2 {
@@ -234,34 +237,34 @@
     assert!(bed.retry_after() >= 1500);
 }
 
-/// A server has just started and is slow. It gets half its slots, and no second copies, which are
-/// sent for the sake of speed.
+/// A server has just started and is slow. It must get half its slots and no hedged calls, which are
+/// meant to save time.
 #[test]
-fn cold_server_gets_less() {
+fn cold_server_gets_half_its_slots_and_no_hedged_calls() {
     let mut bed = Bed::new();
     bed.teach(200, 10);
-    let cold = target::Load { cold: true, ..report(1) };
-    bed.handle(load("docks-1", cold));
-    assert_eq!(state(&bed, "docks-1"), State::Cold);
+    let cold = target::Load { cold: true, ..load_report(1) };
+    bed.handle(load_event("docks-1", cold));
+    assert_eq!(server_state(&bed, "docks-1"), State::Cold);
     bed.sweeps(0..6);
-    let there = |bed: &Bed| {
+    let calls_to_cold = |bed: &Bed| {
         let sent = bed.sent();
         sent.iter().filter(|sent| &*sent.address == "10.0.0.1:80").count()
     };
-    assert_eq!((bed.sent().len(), there(&bed)), (3, 1));
+    assert_eq!((bed.sent().len(), calls_to_cold(&bed)), (3, 1));
     for sent in bed.sent() {
         if &*sent.address == "10.0.0.1:80" {
             bed.answer(&sent);
         }
     }
     bed.advance(50);
-    assert!(there(&bed) <= 2, "no second copy at the cold server");
+    assert!(calls_to_cold(&bed) <= 2, "no hedged call at the cold server");
 }
 
-/// Connections to all servers fail. Work is refused with its reason instead of waiting until its
-/// deadline.
+/// Connections to all servers fail. Work must be refused with that reason instead of waiting until
+/// its deadline.
 #[test]
-fn unreachable_servers_refuse_at_once() {
+fn work_for_unreachable_servers_is_refused_at_once() {
     let mut bed = Bed::cold(settings(), service(vec![server(1)]));
     bed.work(work(1, "sweep"));
     for _ in 0..20 {
@@ -272,13 +275,13 @@
         bed.advance(50);
     }
     assert_eq!(bed.replies(), [(Verdict::NotRun, Reason::ConnectFailed)]);
-    assert_eq!(state(&bed, "docks-1"), State::Unreachable);
+    assert_eq!(server_state(&bed, "docks-1"), State::Unreachable);
 }
 
-/// A server does not answer the question for its load report. Further questions would occupy one
-/// connection after the other.
+/// A server does not reply to a load report request. Further requests would occupy one connection
+/// after the other.
 #[test]
-fn load_reports_are_asked_for_once_a_second_and_one_at_a_time() {
+fn load_reports_are_requested_once_a_second_and_one_at_a_time() {
     for (answers, expected) in [(true, 18..=22), (false, 2..=2)] {
         let mut bed = Bed::new();
         let mut probes = 0;
@@ -291,6 +294,6 @@
                 bed.handle(Event::Opened(lane));
             }
         }
-        assert!(expected.contains(&probes), "{probes} questions");
+        assert!(expected.contains(&probes), "{probes} load report requests");
     }
 }
--- a/crates/core/tests/leaf/session.rs
+++ b/crates/core/tests/leaf/session.rs
@@ -1,4 +1,4 @@
-//! Golden file of a whole session.
+//! Snapshot test of a whole session.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use crate::bed::{Bed, Sent, server, service, settings, work};
 
-/// Writes down what the machine does, lanes as numbers in order of opening.
-struct Tape {
+/// Writes the machine's actions as text; connections are numbered in order of opening.
+struct SessionLog {
     bed: Bed,
     text: String,
-    lanes: Vec<LaneKey>,
+    connections: Vec<LaneKey>,
 }
 
-impl Tape {
-    fn note(&mut self, what: &str) {
-        let _ = writeln!(self.text, "{:>7} {what}", self.bed.now.as_micros() / 1000);
+impl SessionLog {
+    fn record(&mut self, label: &str) {
+        let _ = writeln!(self.text, "{:>7} {label}", self.bed.now.as_micros() / 1000);
         let actions: Vec<Action> = self.bed.log.drain(..).collect();
         for action in &actions {
             let line = self.line(action);
@@ -31,71 +31,78 @@
     fn line(&mut self, action: &Action) -> String {
         match action {
             Action::Open { lane, address, .. } => {
-                self.lanes.push(*lane);
-                format!("open lane {} to {address}", self.number(*lane))
+                self.connections.push(*lane);
+                format!("open connection {} to {address}", self.nth(*lane))
             }
-            Action::Close(lane) => format!("close lane {}", self.number(*lane)),
+            Action::Close(lane) => format!("close connection {}", self.nth(*lane)),
             Action::Send { lane, request, timeout, .. } => {
                 let target::Request { id, operation, index, version, shards, key, .. } = request;
-                let (lane, timeout) = (self.number(*lane), timeout.as_micros());
+                let (lane, timeout) = (self.nth(*lane), timeout.as_micros());
                 let asked = format!("{operation} {index}@{version} {shards:?} for {key}");
-                format!("send {id} on lane {lane}: {asked}, timeout {timeout} us")
+                format!("send {id} on connection {lane}: {asked}, timeout {timeout} us")
             }
-            Action::Cancel { lane, id } => format!("cancel {id} on lane {}", self.number(*lane)),
+            Action::Cancel { lane, id } => format!("cancel {id} on connection {}", self.nth(*lane)),
             Action::Probe { lane, server } => {
-                format!("ask {server} for its load on lane {}", self.number(*lane))
+                format!("request load report of {server} on connection {}", self.nth(*lane))
             }
             Action::Pending { to, pending } => {
-                format!("tell {} that q{} r{} is open", to.name, pending.query, pending.round)
+                format!(
+                    "notify {} that query {} round {} is open",
+                    to.name, pending.query, pending.round
+                )
             }
             Action::Reply { to, reply } => {
                 let wire::Reply { query, round, calls, retry_after_ms, .. } = reply;
                 let (verdict, reason, parts) = (reply.verdict(), reply.reason(), reply.parts.len());
-                let said = format!("query {query} round {round} {verdict:?} {reason:?}");
-                let rest = format!("{parts} parts, {calls} calls, come back {retry_after_ms} ms");
-                format!("reply to {}: {said}, {rest}", to.name)
+                let outcome = format!("query {query} round {round} {verdict:?} {reason:?}");
+                let details =
+                    format!("{parts} parts, {calls} calls, retry after {retry_after_ms} ms");
+                format!("reply to {}: {outcome}, {details}", to.name)
             }
             Action::Log(trace) => {
-                let ends = trace.trials.iter().map(|trial| match trial.end {
+                let results = trace.trials.iter().map(|trial| match trial.end {
                     Some(end) => format!("{:?} at {} {:?}", trial.cause, trial.server, end.verdict),
                     None => format!("{:?} at {} open", trial.cause, trial.server),
                 });
-                let calls = ends.collect::<Vec<_>>().join(", ");
+                let calls = results.collect::<Vec<_>>().join(", ");
                 format!("log {} {:?} {:?}: {calls}", trace.id, trace.verdict, trace.reason)
             }
             Action::Server { name, suspect, .. } => format!("log {name} suspect {suspect}"),
             Action::Crashed { server, incarnation, requests, .. } => {
-                format!("server {server}, incarnation {incarnation}, ended under {requests:?}")
+                format!(
+                    "server {server}, incarnation {incarnation}, crashed while running {requests:?}"
+                )
             }
             Action::Refuted { server, incarnation } => {
-                format!("server {server}, incarnation {incarnation}, lives")
+                format!("server {server}, incarnation {incarnation}, answered")
             }
             Action::Cleared(request) => format!("clear {request}"),
             Action::Count(count) => format!("count {:?} {:?}", count.event, count.reason),
         }
     }
 
-    fn number(&self, lane: LaneKey) -> usize {
-        let place = self.lanes.iter().position(|other| *other == lane);
+    /// Number of a connection in order of opening, from 1.
+    fn nth(&self, lane: LaneKey) -> usize {
+        let place = self.connections.iter().position(|other| *other == lane);
         place.map_or(0, |place| place + 1)
     }
 
-    /// Lets time pass and hands an event over; the last calls sent are returned.
-    fn step(&mut self, millis: u64, what: &str, event: Event) -> Vec<Sent> {
+    /// Advances the clock, delivers an event and returns the calls sent because of the event.
+    fn step(&mut self, millis: u64, label: &str, event: Event) -> Vec<Sent> {
         self.bed.log.clear();
         self.bed.advance(millis);
         if !self.bed.log.is_empty() {
-            self.note("time passes");
+            self.record("time passes");
         }
         self.bed.log.clear();
         self.bed.handle(event);
-        self.note(what);
+        self.record(label);
         self.bed.sent()
     }
 
-    fn end(&mut self, millis: u64, what: &str, sent: &Sent, outcome: Outcome) -> Vec<Sent> {
+    fn end(&mut self, millis: u64, label: &str, sent: &Sent, outcome: Outcome) -> Vec<Sent> {
         let attempt = sent.attempt;
-        self.step(millis, what, Event::Ended { attempt, outcome })
+        self.step(millis, label, Event::Ended { attempt, outcome })
     }
 
     fn work(&mut self, query: u64, operation: &str) -> Vec<Sent> {
@@ -108,49 +115,51 @@
     }
 }
 
-/// A sweep waits for a straggler, gets a second copy and a reply; the first call is cancelled. Then
-/// a booking is refused by a shedding server, runs on the other and is lost; the caller's second
-/// attempt is not run. A drain lets the last sweep finish.
+/// Guards against unintended changes of any action over a whole session. A sweep gets a hedged call
+/// and a reply, and the slow first call is cancelled. A booking is refused by a shedding server,
+/// runs on the other server and is lost; the caller's second attempt is not run. A drain lets the
+/// last sweep finish.
 #[test]
-fn straggler_then_lost_booking_then_drain() {
-    let mut tape = Tape {
+fn session_with_hedged_sweep_lost_booking_and_drain() {
+    let mut log = SessionLog {
         bed: Bed::cold(settings(), service(vec![server(1), server(2)])),
         text: String::new(),
-        lanes: Vec::new(),
+        connections: Vec::new(),
     };
-    tape.note("view");
-    tape.bed.connect();
-    tape.bed.teach(100, 10);
-    tape.bed.now = tape.bed.now + Duration::from_millis(1);
-    straggler(&mut tape);
-    booking(&mut tape);
-    let last = tape.work(3, "sweep");
-    tape.step(1, "drain", Event::Drain);
-    tape.work(4, "sweep");
-    tape.end(9, "answer", &last[0], last[0].answer());
-    assert_eq!(tape.bed.machine.open(), 0);
-    insta::assert_snapshot!(tape.text);
+    log.record("view");
+    log.bed.connect();
+    log.bed.teach(100, 10);
+    log.bed.now = log.bed.now + Duration::from_millis(1);
+    hedged_sweep(&mut log);
+    lost_booking(&mut log);
+    let last = log.work(3, "sweep");
+    log.step(1, "drain", Event::Drain);
+    log.work(4, "sweep");
+    log.end(9, "answer", &last[0], last[0].answer());
+    assert_eq!(log.bed.machine.open(), 0);
+    insta::assert_snapshot!(log.text);
 }
 
-fn straggler(tape: &mut Tape) {
-    let first = tape.work(1, "sweep");
-    tape.bed.log.clear();
-    tape.bed.advance(12);
-    tape.note("the call is slow");
-    let copy = tape.bed.sent();
-    tape.end(8, "the copy is answered", &copy[0], copy[0].answer());
+fn hedged_sweep(log: &mut SessionLog) {
+    let first = log.work(1, "sweep");
+    log.bed.log.clear();
+    log.bed.advance(12);
+    log.record("the call is slow");
+    let hedged = log.bed.sent();
+    log.end(8, "the hedged call is answered", &hedged[0], hedged[0].answer());
     let refused = first[0].refusal(Reason::Cancelled, 0);
-    tape.end(1, "the first call is cancelled", &first[0], refused);
+    log.end(1, "the first call is cancelled", &first[0], refused);
 }
 
-fn booking(tape: &mut Tape) {
-    let first = tape.work(2, "book");
-    let shed = first[0].refusal(Reason::TargetShed, 50);
-    let second = tape.end(1, "the server sheds", &first[0], shed);
-    tape.end(5, "the connection breaks", &second[0], Outcome::Lost);
-    let mut again = work(20, "book");
-    again.key = "key-2".into();
-    again.attempt = 2;
-    let event = Event::Work { from: crate::bed::peer("porto-3"), incarnation: 4, work: again };
-    tape.step(5, "the caller asks again through another entry", event);
+fn lost_booking(log: &mut SessionLog) {
+    let first = log.work(2, "book");
+    let shed_refusal = first[0].refusal(Reason::TargetShed, 50);
+    let second = log.end(1, "the server sheds", &first[0], shed_refusal);
+    log.end(5, "the connection breaks", &second[0], Outcome::Lost);
+    let mut second_attempt = work(20, "book");
+    second_attempt.key = "key-2".into();
+    second_attempt.attempt = 2;
+    let event =
+        Event::Work { from: crate::bed::peer("porto-3"), incarnation: 4, work: second_attempt };
+    log.step(5, "the caller retries through another entry instance", event);
 }
--- a/crates/core/tests/leaf/stop.rs
+++ b/crates/core/tests/leaf/stop.rs
@@ -1,4 +1,4 @@
-//! Drain, suspension, loss of ownership, wrong answers.
+//! Drain, process pause, loss of ownership and wrong answers.
 
 use std::time::Duration;
 
@@ -10,9 +10,10 @@
 
 use crate::bed::{Bed, Sent, server, service, view, work};
 
-/// The instance is stopped while calls are in flight and others wait. None of them may be cut.
+/// The instance is stopped while calls are in flight and other work is queued. None of it may be
+/// interrupted.
 #[test]
-fn drain_finishes_what_is_open() {
+fn drain_refuses_new_work_and_finishes_open_portions() {
     let mut bed = Bed::new();
     bed.sweeps(0..5);
     bed.handle(Event::Drain);
@@ -22,17 +23,17 @@
     assert_eq!(bed.machine.open(), 0);
 }
 
-/// The process is suspended for 30 s with work in its queue and wakes up believing what was true
-/// before. What is late must not be sent, and nothing unrepeatable on such old knowledge.
+/// The process is paused for 30 s with queued work, and its view is outdated when it resumes. Late
+/// work must not be sent, and non-idempotent work must not be sent on such old information.
 #[test]
-fn suspension_with_work_in_the_queue() {
+fn resumed_process_refuses_late_and_non_idempotent_queued_work() {
     let mut bed = Bed::new();
     for query in 0..4 {
-        bed.work(long(query, "sweep"));
+        bed.work(work_with_long_budget(query, "sweep"));
     }
     bed.work(work(10, "sweep"));
-    bed.work(long(11, "book"));
-    bed.work(long(12, "sweep"));
+    bed.work(work_with_long_budget(11, "book"));
+    bed.work(work_with_long_budget(12, "sweep"));
     bed.now = bed.now + Duration::from_secs(30);
     bed.log.retain(|action| !matches!(action, ladder_core::leaf::Action::Reply { .. }));
     let calls = bed.sent();
@@ -45,14 +46,14 @@
     assert!(!keys.contains(&"key-10".into()) && !keys.contains(&"key-11".into()));
 }
 
-fn long(query: u64, operation: &str) -> wire::Work {
+fn work_with_long_budget(query: u64, operation: &str) -> wire::Work {
     wire::Work { budget_us: 60_000_000, ..work(query, operation) }
 }
 
-/// Work lay in a socket buffer while the process was suspended. It arrives with the budget it was
-/// sent with, although its entry gave it up long ago.
+/// Work waited in a socket buffer while the process was paused. The work arrives with its original
+/// budget although its entry gave it up long ago, so it must be refused.
 #[test]
-fn work_that_lay_through_a_suspension() {
+fn work_buffered_during_a_pause_is_refused() {
     let mut bed = Bed::new();
     bed.now = bed.now + Duration::from_secs(30);
     bed.handle(Event::Paused(Duration::from_secs(30)));
@@ -65,48 +66,48 @@
 }
 
 #[test]
-fn queue_is_refused_when_the_service_moves_away() {
+fn queued_work_is_refused_when_the_service_moves_to_another_owner() {
     let mut bed = Bed::new();
     bed.sweeps(0..6);
-    let mut moved = service(vec![server(1), server(2)]);
-    moved.candidates.remove(0);
-    bed.handle(view(moved));
-    let moved = (Verdict::NotRun, Reason::NotOwner);
-    assert_eq!(bed.replies(), [moved, moved]);
+    let mut moved_service = service(vec![server(1), server(2)]);
+    moved_service.candidates.remove(0);
+    bed.handle(view(moved_service));
+    let not_owner = (Verdict::NotRun, Reason::NotOwner);
+    assert_eq!(bed.replies(), [not_owner, not_owner]);
     bed.answer_all(bed.sent());
     assert_eq!(bed.replies().len(), 6);
     assert!(bed.opened.is_empty());
     bed.work(work(10, "sweep"));
-    assert_eq!(bed.replies().last(), Some(&moved));
+    assert_eq!(bed.replies().last(), Some(&not_owner));
     bed.advance(3000);
     assert!(bed.machine.status(bed.now).is_empty());
 }
 
-/// An answer that is not the one to the open request.
-struct Wrong {
+/// A wrong answer to the open request, and the reason that must be counted.
+struct AnswerCase {
     name: &'static str,
-    spoil: fn(&mut target::Answer),
+    corrupt: fn(&mut target::Answer),
     reason: Reason,
 }
 
-/// A connection is out of step or a server changed its index. Its answer is to another request or
-/// of another version, and would enter the caller's answer as if it belonged there.
+/// A connection is out of step or a server changed its index. The answer is to another request or
+/// of another version and must not become part of the caller's answer.
 #[test]
-fn wrong_answers_are_dropped() {
-    let wrong = |name, spoil, reason| Wrong { name, spoil, reason };
+fn answers_to_other_requests_or_versions_are_dropped() {
+    let wrong_answer = |name, corrupt, reason| AnswerCase { name, corrupt, reason };
     let cases = [
-        wrong("id", |answer| answer.id = "porto-1.6.1".into(), Reason::WrongAnswer),
-        wrong("index", |answer| answer.index = "bikes".into(), Reason::WrongVersion),
-        wrong("version", |answer| answer.version = 2, Reason::WrongVersion),
-        wrong("shard", |answer| answer.parts[0].shard = "s9".into(), Reason::WrongAnswer),
-        wrong("missing shard", |answer| answer.parts.truncate(1), Reason::WrongAnswer),
-        wrong("doubled shard", |a| a.parts[1] = a.parts[0].clone(), Reason::WrongAnswer),
+        wrong_answer("id", |answer| answer.id = "porto-1.6.1".into(), Reason::WrongAnswer),
+        wrong_answer("index", |answer| answer.index = "bikes".into(), Reason::WrongVersion),
+        wrong_answer("version", |answer| answer.version = 2, Reason::WrongVersion),
+        wrong_answer("shard", |answer| answer.parts[0].shard = "s9".into(), Reason::WrongAnswer),
+        wrong_answer("missing shard", |answer| answer.parts.truncate(1), Reason::WrongAnswer),
+        wrong_answer("doubled shard", |a| a.parts[1] = a.parts[0].clone(), Reason::WrongAnswer),
     ];
     for case in cases {
         let mut bed = Bed::new();
         bed.teach(100, 10);
         let first = bed.ask(1, "sweep");
-        bed.end(first.attempt, spoiled(&first, case.spoil));
+        bed.end(first.attempt, corrupted_answer(&first, case.corrupt));
         assert_eq!(bed.counted(count::Event::Drop, case.reason), 1, "{}", case.name);
         assert!(bed.replies().is_empty(), "{}", case.name);
         assert!(bed.opened.iter().all(|(lane, _)| *lane != first.lane), "{}", case.name);
@@ -116,10 +117,10 @@
     }
 }
 
-fn spoiled(sent: &Sent, spoil: fn(&mut target::Answer)) -> Outcome {
+fn corrupted_answer(sent: &Sent, corrupt: fn(&mut target::Answer)) -> Outcome {
     let Outcome::Answer(mut answer) = sent.answer() else {
         unreachable!("answer() answers");
     };
-    spoil(&mut answer);
+    corrupt(&mut answer);
     Outcome::Answer(answer)
 }
--- a/crates/core/tests/leaf/world.rs
+++ b/crates/core/tests/leaf/world.rs
@@ -1,4 +1,5 @@
-//! What is true outside the machine while any events arrive: calls, connections, keys, deadlines.
+//! Reference model of the machine's environment for the property test: calls, connections, request
+//! keys and deadlines while any events arrive.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 use ladder_core::time::Instant;
 use ladder_core::view::Server;
 
-/// What a connection is doing.
+/// State of a connection in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
     Opening,
@@ -20,7 +21,7 @@
     Control,
 }
 
-/// An open call.
+/// An open call in the model.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) lane: LaneKey,
@@ -28,46 +29,48 @@
     pub(crate) request: target::Request,
 }
 
-/// One delivery of a portion.
+/// One delivery of a portion in the model.
 #[derive(Clone, Debug)]
 struct Delivery {
     end: Instant,
-    /// Later than `end` by the suspensions since.
+    /// Time by which the reply must be sent: `end` plus the process pauses since the delivery.
     reply_by: Instant,
     replies: u32,
-    /// Calls not proved not to have run, open ones included.
+    /// Number of calls that are not proved not to have run, open ones included.
     may_have_run: u32,
 }
 
-/// What is true outside the machine. Each action is checked against it.
+/// Reference model of the machine's environment. Each action of the machine is checked against the
+/// model.
 #[derive(Debug, Default)]
-pub(crate) struct World {
+pub(crate) struct Model {
     pub(crate) now: Instant,
     pub(crate) lanes: BTreeMap<LaneKey, (Arc<str>, Lane)>,
     pub(crate) calls: BTreeMap<AttemptKey, Call>,
     pub(crate) servers: Vec<Server>,
-    /// By the payload, which names query and round.
+    /// Deliveries by payload; the payload names query and round.
     deliveries: BTreeMap<String, Delivery>,
-    /// Sendings of each unrepeatable key that are not proved not to have run.
-    sent_keys: BTreeMap<String, u32>,
+    /// For each non-idempotent request key, number of calls that are not proved not to have run.
+    calls_by_key: BTreeMap<String, u32>,
     pub(crate) replies: usize,
 }
 
-impl World {
-    /// A machine that owns nothing yet faces these servers.
+impl Model {
+    /// Creates a model with these servers and without connections or calls.
     pub(crate) fn new(now: Instant, servers: Vec<Server>) -> Self {
         Self { now, servers, ..Self::default() }
     }
 
-    /// Nothing can be replied during a suspension.
-    pub(crate) fn suspend(&mut self, gap: Duration) {
-        self.now = self.now + gap;
+    /// Advances the clock by a process pause; replies may be later by the pause.
+    pub(crate) fn pause(&mut self, pause_length: Duration) {
+        self.now = self.now + pause_length;
         for delivery in self.deliveries.values_mut() {
-            delivery.reply_by = delivery.reply_by + gap;
+            delivery.reply_by = delivery.reply_by + pause_length;
         }
     }
 
-    /// Notes work that is about to be handed over; a second delivery must get no second reply.
+    /// Records work that is about to be delivered; a second delivery of the same portion must get
+    /// no second reply.
     pub(crate) fn deliver(&mut self, work: &wire::Work) {
         let end = self.now + Duration::from_micros(work.budget_us);
         self.deliveries.entry(work.payload.clone()).or_insert(Delivery {
@@ -78,11 +81,11 @@
         });
     }
 
-    /// Notes the end of a call that is about to be reported.
+    /// Records the end of a call that is about to be reported to the machine.
     pub(crate) fn end(&mut self, attempt: AttemptKey, outcome: &Outcome) -> Call {
         let call = self.calls.remove(&attempt).expect("an open call ends");
         match outcome {
-            Outcome::Answer(_) | Outcome::Refusal(_) => self.set(call.lane, Lane::Idle),
+            Outcome::Answer(_) | Outcome::Refusal(_) => self.set_state(call.lane, Lane::Idle),
             _ => {
                 self.lanes.remove(&call.lane);
             }
@@ -91,13 +94,13 @@
             let delivery = self.deliveries.get_mut(&call.request.payload);
             delivery.expect("a known delivery").may_have_run -= 1;
             if call.request.operation == "book" {
-                *self.sent_keys.get_mut(&call.request.key).expect("a sent key") -= 1;
+                *self.calls_by_key.get_mut(&call.request.key).expect("a sent key") -= 1;
             }
         }
         call
     }
 
-    pub(crate) fn set(&mut self, lane: LaneKey, state: Lane) {
+    pub(crate) fn set_state(&mut self, lane: LaneKey, state: Lane) {
         self.lanes.get_mut(&lane).expect("an open lane").1 = state;
     }
 
@@ -109,7 +112,7 @@
                 Action::Send { lane, attempt, request, .. } => {
                     self.check_send(*lane, *attempt, request);
                 }
-                Action::Cancel { lane, .. } | Action::Probe { lane, .. } => self.take(*lane),
+                Action::Cancel { lane, .. } | Action::Probe { lane, .. } => self.occupy(*lane),
                 Action::Reply { reply, .. } => self.check_reply(reply),
                 Action::Log(_)
                 | Action::Crashed { .. }
@@ -122,10 +125,10 @@
         }
     }
 
-    /// No delivery stays without a reply.
+    /// Asserts that every delivery has exactly one reply.
     pub(crate) fn check_all_replied(&self) {
-        for (name, delivery) in &self.deliveries {
-            assert_eq!(delivery.replies, 1, "replies to {name}");
+        for (payload, delivery) in &self.deliveries {
+            assert_eq!(delivery.replies, 1, "replies to {payload}");
         }
     }
 
@@ -145,27 +148,27 @@
         assert_ne!(state, Lane::Busy, "a call is cut");
     }
 
-    fn take(&mut self, lane: LaneKey) {
+    fn occupy(&mut self, lane: LaneKey) {
         let (_, state) = self.lanes.get(&lane).expect("an open lane is used");
         assert_eq!(*state, Lane::Idle, "a lane carries one request at a time");
-        self.set(lane, Lane::Control);
+        self.set_state(lane, Lane::Control);
     }
 
     fn check_send(&mut self, lane: LaneKey, attempt: AttemptKey, request: &target::Request) {
-        self.take(lane);
-        self.set(lane, Lane::Busy);
+        self.occupy(lane);
+        self.set_state(lane, Lane::Busy);
         let address = Arc::clone(&self.lanes[&lane].0);
         let server = self.server(&address).expect("a listed server");
         assert!(!server.leaving, "work for a leaving server");
         let slots = server.slots as usize;
-        let busy = self.calls.values().filter(|call| call.address == address).count();
-        assert!(busy < slots, "calls beyond the slots");
+        let open_calls = self.calls.values().filter(|call| call.address == address).count();
+        assert!(open_calls < slots, "calls beyond the slots");
         let delivery = self.deliveries.get_mut(&request.payload).expect("a known delivery");
         assert_eq!(delivery.replies, 0, "a call after the reply");
         assert!(self.now < delivery.end, "a call after the deadline");
         delivery.may_have_run += 1;
         if request.operation == "book" {
-            let sent = self.sent_keys.entry(request.key.clone()).or_default();
+            let sent = self.calls_by_key.entry(request.key.clone()).or_default();
             assert_eq!(*sent, 0, "an unrepeatable request is sent twice");
             *sent += 1;
         }
@@ -173,17 +176,17 @@
     }
 
     fn check_reply(&mut self, reply: &wire::Reply) {
-        let name = name(reply.query, reply.round);
-        let delivery = self.deliveries.get_mut(&name).expect("a known delivery");
+        let payload = payload(reply.query, reply.round);
+        let delivery = self.deliveries.get_mut(&payload).expect("a known delivery");
         delivery.replies += 1;
         self.replies += 1;
-        assert_eq!(delivery.replies, 1, "a second reply to {name}");
-        assert!(self.now <= delivery.reply_by, "a late reply to {name}");
+        assert_eq!(delivery.replies, 1, "a second reply to {payload}");
+        assert!(self.now <= delivery.reply_by, "a late reply to {payload}");
         match reply.verdict() {
-            Verdict::NotRun => assert_eq!(delivery.may_have_run, 0, "{name} may have run"),
+            Verdict::NotRun => assert_eq!(delivery.may_have_run, 0, "{payload} may have run"),
             Verdict::Ran => {
-                let own = reply.parts.iter().all(|part| part.body == name);
-                assert!(own, "{name} gets the answer to another request");
+                let has_own_answer = reply.parts.iter().all(|part| part.body == payload);
+                assert!(has_own_answer, "{payload} gets the answer to another request");
                 assert!(!reply.parts.is_empty());
             }
             _ => {}
@@ -191,7 +194,7 @@
     }
 }
 
-/// Payload of a delivery's requests.
-pub(crate) fn name(query: u64, round: u32) -> String {
+/// Payload of the requests of a delivery.
+pub(crate) fn payload(query: u64, round: u32) -> String {
     format!("{query}/{round}")
 }
