--- a/crates/core/src/age.rs
+++ b/crates/core/src/age.rs
@@ -1,51 +1,53 @@
-//! Estimates how long frames lay in buffers, without synchronised clocks.
+//! Estimates how long frames waited in buffers, without synchronised clocks.
 
 use std::sync::Arc;
 
 use crate::collections::Map;
 use crate::time::Instant;
 
-/// Senders remembered; the table is emptied when it would grow beyond.
-const SENDERS: usize = 8192;
+/// Maximum number of senders in the table; the table is cleared when one more would be added.
+const MAX_SENDERS: usize = 8192;
 
-/// The smallest difference of clocks seen from one incarnation of a sender.
+/// Smallest observed clock difference to one incarnation of a sender.
 #[derive(Clone, Copy, Debug)]
-struct Gauge {
+struct ClockDifference {
     incarnation: u64,
     /// Receiver's clock minus sender's clock for the fastest frame so far, in microseconds.
     ///
-    /// Invariant: never rises while the incarnation stays.
-    offset: i64,
+    /// Invariant: never increases while the incarnation stays the same.
+    difference_us: i64,
 }
 
-/// Gauges of all senders.
+/// Clock differences to all senders, for estimating the age of received frames.
 ///
-/// The clocks of two processes have different origins, but the difference between them is constant
-/// while both live. The fastest frame shows that difference plus the shortest way; any frame that
-/// shows more has lain in buffers for the excess. The first frame of an incarnation has nothing to
-/// compare with and counts as fresh.
+/// The clocks of two processes have different origins, but their difference is constant while both
+/// processes live. The fastest frame shows that difference plus the shortest transfer time; a frame
+/// that shows more has waited in buffers for the excess. The first frame of an incarnation can't be
+/// compared with another one and counts as fresh.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
-    senders: Map<Arc<str>, Gauge>,
+    senders: Map<Arc<str>, ClockDifference>,
 }
 
 impl Gauges {
-    /// Microseconds that a frame sent at `sent_us` of the sender's clock lay in buffers.
+    /// Time in microseconds that a frame waited in buffers; `sent_us` is the sender's clock at
+    /// sending.
     pub fn age(&mut self, sender: Arc<str>, incarnation: u64, sent_us: u64, now: Instant) -> u64 {
-        let offset = signed(now.as_micros()).saturating_sub(signed(sent_us));
-        if self.senders.len() >= SENDERS && !self.senders.contains_key(&sender) {
+        let difference_us = to_signed(now.as_micros()).saturating_sub(to_signed(sent_us));
+        if self.senders.len() >= MAX_SENDERS && !self.senders.contains_key(&sender) {
             self.senders.clear();
         }
-        let gauge = self.senders.entry(sender).or_insert(Gauge { incarnation, offset });
-        if gauge.incarnation != incarnation {
-            *gauge = Gauge { incarnation, offset };
+        let known =
+            self.senders.entry(sender).or_insert(ClockDifference { incarnation, difference_us });
+        if known.incarnation != incarnation {
+            *known = ClockDifference { incarnation, difference_us };
         }
-        gauge.offset = gauge.offset.min(offset);
-        offset.saturating_sub(gauge.offset).unsigned_abs()
+        known.difference_us = known.difference_us.min(difference_us);
+        difference_us.saturating_sub(known.difference_us).unsigned_abs()
     }
 }
 
-/// `value` as a signed number, capped.
-fn signed(value: u64) -> i64 {
+/// Converts `value` to a signed number, capped at the maximum.
+fn to_signed(value: u64) -> i64 {
     i64::try_from(value).unwrap_or(i64::MAX)
 }
--- a/crates/core/src/count.rs
+++ b/crates/core/src/count.rs
@@ -1,25 +1,25 @@
-//! What the core asks the shell to count.
+//! Counter increments that the core requests from the shell.
 
 use ladder_schema::outcome::Reason;
 
-/// What happened to a request, call, answer, frame or record, for `reason`.
+/// Kind of event that is counted, for a request, call, answer, frame or record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Event {
-    /// A caller's request or a portion of it was refused.
+    /// A caller's request, or a portion of it, was refused.
     Refusal,
     /// A repeatable request was sent again.
     Retry,
-    /// A second copy was sent while the first is open.
+    /// A hedged call was sent while the first call was open.
     Hedge,
     /// A message was dropped.
     Drop,
 }
 
-/// One step of a counter.
+/// One increment of a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Count {
-    /// What happened.
+    /// Kind of the counted event.
     pub event: Event,
-    /// Why.
+    /// Reason of the counted event.
     pub reason: Reason,
 }
--- a/crates/core/src/eligible.rs
+++ b/crates/core/src/eligible.rs
@@ -1,40 +1,43 @@
-//! Which servers a part of a sweep may run on, whoever asks them.
+//! Selection of the servers that a part of a sweep may run on, whichever instance sends the part to
+//! them.
 //!
-//! A route bounds the servers that one part runs on. A part goes to another instance when the one that
-//! asked for it is lost, and neither knows whom the other asked; each choosing by its own view, they ask
-//! more servers together than the route allows. The instance that a sweep came to is the only one that
-//! knows of all its askers, so it chooses the servers, and the choice travels with the part. Askers that
-//! hold one of them for gone or leaving have fewer to ask, and refuse the part if none is left: while
-//! nothing of a part can have run, it is chosen for anew.
+//! A route limits the number of servers that one part runs on. A part goes to another instance when
+//! the first one is lost, and neither instance knows which servers the other used; if each selected
+//! servers by its own view, together they would use more servers than the route allows. The entry
+//! instance is the only one that knows all instances that send the sweep's parts, so it selects the
+//! servers, and the selection is sent with the part. An instance that considers one of these
+//! servers dead or leaving has fewer servers left, and refuses the part if none is left: while
+//! nothing of the part can have run, the entry instance selects servers again.
 
 use crate::control::hash;
 use crate::view::Server;
 
-/// Stands for a server of a service in messages between instances.
+/// Hash of a server's name that identifies the server in messages between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Mark(pub u32);
 
 impl Mark {
-    /// Of the server with this name.
+    /// Computes the mark of the server with this name.
     pub fn of(name: &str) -> Self {
         Self(hash::of(&[name.as_bytes()]) as u32)
     }
 }
 
-/// What a choice depends on beside the servers.
+/// Inputs of a selection besides the servers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Terms<'a> {
-    /// Servers that the part may run on.
+    /// Maximum number of servers that the part may run on.
     pub(crate) attempts: usize,
-    /// The request's key: the parts of different requests are spread over the servers.
+    /// Request key; distributes the parts of different requests over the servers.
     pub(crate) key: &'a str,
-    /// Availability zone of the instance that asks first; its servers come first.
+    /// Availability zone of the instance that first sends the part; servers of that zone are
+    /// selected first.
     pub(crate) home: &'a str,
-    /// Servers that an asker could not use or would avoid; they come last.
+    /// Servers that an instance could not use or would avoid; they are selected last.
     pub(crate) passed: &'a [Mark],
 }
 
-/// The servers that a part may run on.
+/// Selects the servers that a part may run on.
 pub(crate) fn choose<'a>(servers: impl Iterator<Item = &'a Server>, terms: Terms<'_>) -> Vec<Mark> {
     let mut marks: Vec<(&Server, Mark)> =
         servers.map(|server| (server, Mark::of(&server.name))).collect();
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -14,7 +14,7 @@
 use super::portion::PortionKey;
 use super::queue::Queue;
 use super::server::ServerKey;
-use crate::average::Average;
+use crate::average::MovingAverage;
 use crate::control::placement::CANDIDATES;
 use crate::time::Instant;
 use crate::view;
@@ -82,7 +82,7 @@
     pub(super) kinds: Kinds,
     /// Moving average of the servers' running and waiting requests divided by their slots; zero
     /// until an answer reports an occupancy.
-    pub(super) busy: Average,
+    pub(super) busy: MovingAverage,
     /// Whether the service's queue or servers changed while the current event was handled.
     pub(super) marked: bool,
     pub(super) budget: Budget,
@@ -123,7 +123,7 @@
             queue: Queue::default(),
             in_flight: 0,
             kinds: Kinds::default(),
-            busy: Average::default(),
+            busy: MovingAverage::default(),
             marked: false,
             budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
             admission: Admission::default(),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,13 +1,16 @@
-//! The decision core: everything that decides, as state machines without clock, socket, thread or
-//! random source of their own.
+//! The decision core: all decisions are made here, in state machines without a clock, socket,
+//! thread or random source of their own.
 //!
-//! Each machine takes `(now, event)` and appends actions; seeds are given at construction. The
-//! same events therefore always give the same actions, and a session can be replayed from a file.
+//! Each machine takes `(now, event)` and appends actions; seeds are passed at construction. The
+//! same events therefore always produce the same actions, and a session can be replayed from a
+//! file.
 //!
-//! - [`control`] holds what one instance knows of the fleet and the publication and publishes a
-//!   [`view::View`] for the other two;
-//! - [`gather`] takes callers' requests, plans them over shards and gathers the answers;
-//! - [`leaf`] owns services: their servers' slots and connections, queue, hedges and retries.
+//! - [`control`] keeps one instance's information about the fleet and the publication, and
+//!   publishes a [`view::View`] for the other two machines;
+//! - [`gather`] accepts callers' requests, splits them into portions by shard and gathers the
+//!   answers;
+//! - [`leaf`] owns services: the slots and pooled connections of their servers, queues, hedges and
+//!   retries.
 
 pub mod age;
 mod average;
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,21 +1,22 @@
-//! Records in the bodies of a sweep's parts.
+//! Fixed-size records in the bodies of a sweep's parts.
 
 use std::cmp::Reverse;
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one record in a part.
-const RECORD: usize = 16;
+/// Size of one record in bytes.
+const RECORD_BYTES: usize = 16;
 
-/// The greatest `top` records of all parts, falling; a rest shorter than a record is left out.
+/// The greatest `top` records of all parts in descending order; trailing bytes of a part that are
+/// shorter than a record are ignored.
 pub(crate) fn greatest<'a>(parts: impl Iterator<Item = &'a Bytes>, top: usize) -> Bytes {
-    let mut records: Vec<&[u8]> = parts.flat_map(|part| part.chunks_exact(RECORD)).collect();
+    let mut records: Vec<&[u8]> = parts.flat_map(|part| part.chunks_exact(RECORD_BYTES)).collect();
     if top < records.len() {
         records.select_nth_unstable_by_key(top, |&record| Reverse(record));
         records.truncate(top);
     }
     records.sort_unstable_by_key(|&record| Reverse(record));
-    let mut body = BytesMut::with_capacity(records.len() * RECORD);
+    let mut body = BytesMut::with_capacity(records.len() * RECORD_BYTES);
     records.iter().for_each(|record| body.extend_from_slice(record));
     body.freeze()
 }
--- a/crates/core/src/sample.rs
+++ b/crates/core/src/sample.rs
@@ -1,15 +1,15 @@
-//! Which requests are logged in full although all went well.
+//! Sample of the requests that are logged in full although they succeeded.
 
 use std::hash::{BuildHasher, BuildHasherDefault};
 
 use rustc_hash::FxHasher;
 
-/// One request in this many is logged in full whatever becomes of it.
-const EVERY: u64 = 64;
+/// One in this many requests is logged in full regardless of its outcome.
+const ONE_IN: u64 = 64;
 
-/// Whether the sample holds a request. It follows from its key alone, so that all instances log the
-/// same requests and the lines of one tell its whole story.
+/// Whether the sample contains a request. The decision depends only on the request key, so that all
+/// instances log the same requests and the log lines of one request are complete.
 pub fn contains(key: &str) -> bool {
     let hash = BuildHasherDefault::<FxHasher>::default().hash_one(key);
-    (hash >> 32).is_multiple_of(EVERY)
+    (hash >> 32).is_multiple_of(ONE_IN)
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,22 +1,22 @@
-//! Points in time as the core sees them.
+//! Points in time in the core.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// Microseconds since an origin that the shell chooses once per process.
+/// A point in time: microseconds since an origin that the shell selects once per process.
 ///
-/// The shell reads a clock that goes on while the process or the machine is suspended, so that a
-/// suspension shows as a gap.
+/// The shell reads a clock that continues while the process or the machine is suspended, so that a
+/// process pause appears as a gap.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(u64);
 
 impl Instant {
-    /// A point `micros` microseconds after the origin.
+    /// Creates a point `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 
-    /// A point `millis` milliseconds after the origin.
+    /// Creates a point `millis` milliseconds after the origin.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1000)
     }
@@ -26,7 +26,7 @@
         self.0
     }
 
-    /// Time since `earlier`, zero if `earlier` is later.
+    /// Time since `earlier`; zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Whole microseconds of `span`.
+/// Whole microseconds of `span`, capped at `u64::MAX`.
 pub fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -1,7 +1,8 @@
-//! What one instance holds true at one moment: catalogue, indexes, servers, owners.
+//! Immutable snapshot of the information that one instance uses at a time: catalogue, indexes,
+//! servers, owners.
 //!
 //! The control machine builds a [`View`] whenever something changes and publishes it as one
-//! immutable value. The traffic machines never see half a change.
+//! immutable value. The traffic machines never see a partial change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,93 +17,96 @@
 use crate::time::Instant;
 
 new_key_type! {
-    /// A service in one view; keys of different views do not mix.
+    /// Key of a service in one view; keys of different views can't be mixed.
     pub struct ServiceKey;
 }
 
-/// An instance as a peer.
+/// Name and address of an instance, for messages between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// Unique name.
     pub name: Arc<str>,
-    /// IP number and port of its peer socket.
+    /// IP address and port of the instance's peer socket.
     pub address: Arc<str>,
 }
 
-/// Another instance with its place.
+/// Another instance with its zone and processor share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Neighbour {
     /// The instance.
     pub peer: Peer,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Thousandths of a processor core that it may use; 0 if that is not known.
+    /// Processor cores available to the instance, in thousandths of a core; 0 if unknown.
     pub millicores: u32,
 }
 
-/// An instance that may work on a service, in order of preference.
+/// An instance that may send the work of a service, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The instance.
     pub peer: Peer,
-    /// Held alive and not leaving by the membership of this instance.
+    /// Whether this instance's membership considers the candidate alive and not leaving.
     pub live: bool,
-    /// It is this very instance.
+    /// Whether the candidate is the local instance.
     pub local: bool,
 }
 
-/// A target of a service.
+/// A server (target) of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
     /// Unique name.
     pub name: Arc<str>,
-    /// IP number and port.
+    /// IP address and port of the server.
     pub address: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Grows with every start of the target.
+    /// Incarnation of the server; increases with every start.
     pub incarnation: u64,
-    /// Some source says that it leaves; it must receive no new work.
+    /// Whether some source reported that the server is leaving; a leaving server must receive no
+    /// new work.
     pub leaving: bool,
-    /// An operator wants nothing sent to the servers of its zone.
+    /// Whether an operator evacuated the server's zone, so that the server must receive no new
+    /// work.
     pub evacuated: bool,
-    /// Requests it works on at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Connections this instance may hold to it.
+    /// Connection share: number of connections that this instance may have to the server.
     ///
     /// Invariant: over all instances that compute it from publications that differ by no more than
     /// the reserve, the shares sum to at most the server's published limit.
     pub share: u32,
-    /// How much longer it warms up, as last published.
+    /// Remaining warm-up time, as last published.
     pub warmup: Duration,
-    /// Index versions it serves, as published.
+    /// Index versions that the server serves, as published.
     pub holdings: Vec<publication::Holding>,
 }
 
 impl Server {
-    /// Whether it may receive new work, by what is published.
+    /// Whether the server may receive new work, according to the publication.
     pub const fn takes_work(&self) -> bool {
         !self.leaving && !self.evacuated
     }
 }
 
-/// A search service with its catalogue entry.
+/// A search service with its catalogue entry, servers and candidates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Unique name.
     pub name: Arc<str>,
-    /// The entry in force.
+    /// The catalogue entry in force.
     pub entry: Arc<catalogue::Entry>,
-    /// Its targets, in order of name.
+    /// Servers of the service, sorted by name.
     pub servers: Vec<Server>,
-    /// Instances that may work on it; the first live one is the owner.
+    /// Instances that may send the service's work; the first live one is the owner.
     pub candidates: Vec<Candidate>,
-    /// Instances that share what the entry grants the fleet as a whole; at least 1.
+    /// Number of instances among which the entry's limits for the whole fleet are divided; at least
+    /// 1.
     pub sharers: u32,
-    /// Its servers' connections don't suffice for every instance to hold one for each slot: one
-    /// instance asks for all.
+    /// Whether the servers accept too few connections for every instance to have one per slot: one
+    /// instance then sends the work of all.
     pub scarce: bool,
-    /// Each instance may keep a connection to each of its servers that it has no work for.
+    /// Whether each instance may keep a connection without work to each of the service's servers.
     pub spare: bool,
 }
 
@@ -112,82 +116,85 @@
         self.candidates.iter().find(|candidate| candidate.live)
     }
 
-    /// Whether this instance may work on the service at all.
+    /// Whether this instance is a candidate of the service.
     pub fn is_candidate(&self) -> bool {
         self.candidates.iter().any(|candidate| candidate.local)
     }
 
-    /// The operation of this name in the entry.
+    /// The operation with this name in the catalogue entry.
     pub fn operation(&self, name: &str) -> Option<&catalogue::Operation> {
         self.entry.operations.iter().find(|operation| operation.name == name)
     }
 }
 
-/// An incarnation of a server that is said to have ended.
+/// An incarnation of a server whose process was reported as terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct End {
-    /// The incarnation.
+    /// Incarnation of the server process.
     pub incarnation: u64,
-    /// When its calls broke off, as far as this instance knows.
+    /// Time at which the server's calls broke off, as far as this instance knows.
     pub at: Instant,
 }
 
-/// Requests under which servers ended.
+/// Requests that were running on server processes that terminated, and these servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Quarantine {
-    /// Requests that are refused.
+    /// Fingerprints of quarantined requests, which are refused.
     pub refused: Set<Fingerprint>,
-    /// Requests that were at servers that ended, as long as nothing clears them.
+    /// Fingerprints of requests that were running on a server process when it terminated, until an
+    /// answer clears them.
     pub suspected: Set<Fingerprint>,
-    /// Servers that are said to have ended.
+    /// Reported terminations of server processes, by server name.
     pub ended: Map<Arc<str>, End>,
 }
 
 impl Quarantine {
-    /// Whether it matters to others that a request is answered.
+    /// Whether other instances must be notified that this request was answered.
     pub fn concerns(&self, request: Fingerprint) -> bool {
         self.refused.contains(&request) || self.suspected.contains(&request)
     }
 }
 
-/// What one instance holds true at one moment.
+/// Immutable snapshot of the information that one instance uses at a time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Grows with every view of this instance.
+    /// Generation of the view; increases with every view of this instance.
     pub generation: u64,
     /// Highest catalogue revision in force.
     pub revision: u64,
-    /// Enough is known to serve callers.
+    /// Whether this instance has enough information to serve callers.
     pub ready: bool,
     /// Services that have a catalogue entry.
     ///
-    /// Views share those in which they do not differ, as a change concerns few of many thousands.
+    /// Successive views share the services that did not change, because a change concerns few of
+    /// many thousands.
     pub services: SlotMap<ServiceKey, Arc<Service>>,
     /// Keys of the services by name.
     ///
-    /// Invariant: holds exactly the keys of `services`.
+    /// Invariant: contains exactly the keys of `services`.
     pub service_keys: Arc<Map<Arc<str>, ServiceKey>>,
     /// Published versions of each index, newest first.
     pub indexes: Map<Arc<str>, Vec<Arc<publication::Index>>>,
-    /// The routes in force.
+    /// The routes in force; `None` if none are published.
     pub routing: Option<Arc<route::Table>>,
-    /// Other instances that have settled, in order of name; kept under direct placement only.
+    /// Other instances that are alive and have passed the settling time, sorted by name; filled
+    /// under direct placement only.
     pub neighbours: Arc<[Neighbour]>,
-    /// Requests under which servers ended.
+    /// Quarantined and suspected requests, and reported server terminations.
     pub quarantine: Arc<Quarantine>,
-    /// The region of each availability zone, by the settings.
+    /// Region of each availability zone, from the settings.
     pub regions: Arc<Map<Arc<str>, Arc<str>>>,
 }
 
 impl View {
-    /// Adds a service; one of the same name is replaced and leaves its key to it.
+    /// Adds a service; a service of the same name is replaced and its key reused.
     pub fn insert(&mut self, service: impl Into<Arc<Service>>) -> ServiceKey {
         let service = service.into();
-        let known = self.service_keys.get(&service.name).copied();
-        if let Some(key) = known
-            && let Some(old) = self.services.get_mut(key)
+        let known_key = self.service_keys.get(&service.name).copied();
+        if let Some(key) = known_key
+            && let Some(existing) = self.services.get_mut(key)
         {
-            *old = service;
+            *existing = service;
             return key;
         }
         let name = Arc::clone(&service.name);
@@ -206,7 +213,8 @@
         }
     }
 
-    /// Whether messages of a route with these homes may go to an availability zone.
+    /// Whether messages of a route with these home regions may go to servers or instances of an
+    /// availability zone. An empty list allows every zone.
     pub fn is_home(&self, homes: &[String], zone: &str) -> bool {
         let region = self.regions.get(zone);
         homes.is_empty() || region.is_some_and(|region| homes.iter().any(|home| **home == **region))
--- a/crates/core/tests/leaf/property.rs
+++ b/crates/core/tests/leaf/property.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    fn pick_connection(&self, which: u8, matches: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
-        let lanes = self.model.lanes.iter().filter(|(_, (_, state))| matches(state));
+    fn pick_connection(&self, which: u8, predicate: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
+        let lanes = self.model.lanes.iter().filter(|(_, (_, state))| predicate(state));
         let lanes: Vec<LaneKey> = lanes.map(|(connection, _)| *connection).collect();
         lanes.get(usize::from(which) % lanes.len().max(1)).copied()
     }
--- a/crates/core/tests/leaf/session.rs
+++ b/crates/core/tests/leaf/session.rs
@@ -54,10 +54,10 @@
             Action::Reply { to, reply } => {
                 let wire::Reply { query, round, calls, retry_after_ms, .. } = reply;
                 let (verdict, reason, parts) = (reply.verdict(), reply.reason(), reply.parts.len());
-                let outcome = format!("query {query} round {round} {verdict:?} {reason:?}");
+                let summary = format!("query {query} round {round} {verdict:?} {reason:?}");
                 let details =
                     format!("{parts} parts, {calls} calls, retry after {retry_after_ms} ms");
-                format!("reply to {}: {outcome}, {details}", to.name)
+                format!("reply to {}: {summary}, {details}", to.name)
             }
             Action::Log(trace) => {
                 let results = trace.trials.iter().map(|trial| match trial.end {
@@ -121,45 +121,45 @@
 /// last sweep finish.
 #[test]
 fn session_with_hedged_sweep_lost_booking_and_drain() {
-    let mut log = SessionLog {
+    let mut session = SessionLog {
         bed: Bed::cold(settings(), service(vec![server(1), server(2)])),
         text: String::new(),
         connections: Vec::new(),
     };
-    log.record("view");
-    log.bed.connect();
-    log.bed.teach(100, 10);
-    log.bed.now = log.bed.now + Duration::from_millis(1);
-    hedged_sweep(&mut log);
-    lost_booking(&mut log);
-    let last = log.work(3, "sweep");
-    log.step(1, "drain", Event::Drain);
-    log.work(4, "sweep");
-    log.end(9, "answer", &last[0], last[0].answer());
-    assert_eq!(log.bed.machine.open(), 0);
-    insta::assert_snapshot!(log.text);
+    session.record("view");
+    session.bed.connect();
+    session.bed.teach(100, 10);
+    session.bed.now = session.bed.now + Duration::from_millis(1);
+    hedged_sweep(&mut session);
+    lost_booking(&mut session);
+    let last = session.work(3, "sweep");
+    session.step(1, "drain", Event::Drain);
+    session.work(4, "sweep");
+    session.end(9, "answer", &last[0], last[0].answer());
+    assert_eq!(session.bed.machine.open(), 0);
+    insta::assert_snapshot!(session.text);
 }
 
-fn hedged_sweep(log: &mut SessionLog) {
-    let first = log.work(1, "sweep");
-    log.bed.log.clear();
-    log.bed.advance(12);
-    log.record("the call is slow");
-    let hedged = log.bed.sent();
-    log.end(8, "the hedged call is answered", &hedged[0], hedged[0].answer());
+fn hedged_sweep(session: &mut SessionLog) {
+    let first = session.work(1, "sweep");
+    session.bed.log.clear();
+    session.bed.advance(12);
+    session.record("the call is slow");
+    let hedged = session.bed.sent();
+    session.end(8, "the hedged call is answered", &hedged[0], hedged[0].answer());
     let refused = first[0].refusal(Reason::Cancelled, 0);
-    log.end(1, "the first call is cancelled", &first[0], refused);
+    session.end(1, "the first call is cancelled", &first[0], refused);
 }
 
-fn lost_booking(log: &mut SessionLog) {
-    let first = log.work(2, "book");
+fn lost_booking(session: &mut SessionLog) {
+    let first = session.work(2, "book");
     let shed_refusal = first[0].refusal(Reason::TargetShed, 50);
-    let second = log.end(1, "the server sheds", &first[0], shed_refusal);
-    log.end(5, "the connection breaks", &second[0], Outcome::Lost);
+    let second = session.end(1, "the server sheds", &first[0], shed_refusal);
+    session.end(5, "the connection breaks", &second[0], Outcome::Lost);
     let mut second_attempt = work(20, "book");
     second_attempt.key = "key-2".into();
     second_attempt.attempt = 2;
     let event =
         Event::Work { from: crate::bed::peer("porto-3"), incarnation: 4, work: second_attempt };
-    log.step(5, "the caller retries through another entry instance", event);
+    session.step(5, "the caller retries through another entry instance", event);
 }
