--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -33,8 +33,9 @@
     pub(super) timeout: Duration,
     /// Record of the request key; `Some` for non-idempotent requests only.
     pub(super) record: Option<record::Name>,
-    /// Whether the call was abandoned: its server was already charged for the slow call, or the
-    /// answer is no longer needed.
+    /// Whether the answer is no longer needed because the portion already has a reply; never set
+    /// for non-idempotent calls. An error or loss of such a call is not counted as a failure, and
+    /// its call time is not learned.
     pub(super) given_up: bool,
 }
 
--- a/crates/core/src/leaf/estimate.rs
+++ b/crates/core/src/leaf/estimate.rs
@@ -10,7 +10,7 @@
 const BUCKETS: usize = 26 * BUCKETS_PER_DOUBLING as usize;
 /// Number of samples after which all bucket counts are halved, so that old samples lose weight.
 const MAX_TOTAL: u32 = 2048;
-/// Weight of one sample in the mean.
+/// Minimum weight of one sample in the moving average of call times.
 const MEAN_WEIGHT: f64 = 0.02;
 
 /// Histogram of recent call times with logarithmic buckets.
--- a/crates/core/src/leaf/health.rs
+++ b/crates/core/src/leaf/health.rs
@@ -7,7 +7,7 @@
 
 /// Weight of one outcome in the failure rate and the shed rate.
 const OUTCOME_WEIGHT: f64 = 0.1;
-/// Weight of one call time in the mean.
+/// Weight of one call time in the moving average of the relative call time.
 const TIME_WEIGHT: f64 = 0.1;
 /// Half-life of the failure rate and the shed rate while no outcome arrives.
 const HALF_LIFE: Duration = Duration::from_secs(2);
@@ -113,7 +113,7 @@
             || self.failure_rate > SUSPECT_FAILURE_RATE
     }
 
-    /// Time of the latest outcome.
+    /// Time of the server's latest call outcome.
     pub(super) const fn last_outcome_at(&self) -> Instant {
         self.last_outcome_at
     }
--- a/crates/core/src/leaf/peak.rs
+++ b/crates/core/src/leaf/peak.rs
@@ -4,11 +4,10 @@
 
 use crate::time::Instant;
 
-/// Minimum time for which a maximum is remembered; the maximum is dropped after at most twice this
-/// time.
+/// Minimum time for which a maximum is remembered.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Maximum of a value over the last 4 to 8 seconds.
+/// Maximum of a value over at least the last [`WINDOW`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Peak {
     /// Start of the window that `recent` covers.
@@ -29,8 +28,8 @@
         self.recent = self.recent.max(value);
     }
 
-    /// Maximum of the values added within the last [`WINDOW`]; values up to twice as old may be
-    /// included.
+    /// Maximum of the values added within the last [`WINDOW`]. Values up to twice as old may be
+    /// included, or up to three times as old if values are added rarely.
     pub(super) fn get(&self, now: Instant) -> usize {
         match now.since(self.since) >= 2 * WINDOW {
             true => 0,
--- a/crates/core/src/leaf/queue.rs
+++ b/crates/core/src/leaf/queue.rs
@@ -39,8 +39,8 @@
 impl Class {
     /// Class of work whose answer is due by a set time, earliest first.
     pub(super) const TIMED: Self = Self(1);
-    /// Class of work that can no longer be answered in time: it is dispatched only when servers are
-    /// idle.
+    /// Class of work that can no longer be answered in time: it is queued behind all other work and
+    /// so waits for idle servers.
     pub(super) const LATE: Self = Self(3);
 
     /// Index of the class in an array over all classes.
@@ -126,7 +126,8 @@
             .flat_map(|class| self.classes[class].values().copied())
     }
 
-    /// Removes a dispatched portion and counts the dispatches that passed over a lower class.
+    /// Removes a dispatched portion and counts consecutive dispatches that passed over a waiting
+    /// lower class.
     pub(super) fn dispatch(&mut self, place: Place) {
         let class = place.class.0;
         let highest = self.first_waiting(0).unwrap_or(class);
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -45,7 +45,7 @@
 }
 
 impl Machine {
-    /// Sends the refusal of a portion that was never queued.
+    /// Replies with a refusal to a portion that was never queued.
     pub(super) fn refuse(
         &mut self,
         job: &Job,
@@ -58,14 +58,14 @@
         self.reply(job, reply, out);
     }
 
-    /// Sends the refusal of a queued or sent portion and removes the portion.
+    /// Replies to a queued or sent portion with a refusal and removes the portion.
     pub(super) fn finish(&mut self, key: PortionKey, refused: Refused, out: &mut Vec<Action>) {
         Self::count(count::Event::Refusal, refused.reason, out);
         let calls_too_slow = refused.reason == Reason::Deadline;
         self.close(key, refused, Vec::new(), calls_too_slow, out);
     }
 
-    /// Sends a target's answer to a portion and removes the portion.
+    /// Replies to a portion with a target's answer and removes the portion.
     pub(super) fn answer(
         &mut self,
         key: PortionKey,
@@ -76,9 +76,10 @@
         self.close(key, answered, parts, true, out);
     }
 
-    /// Removes a portion from the machine's state and replies to it. Open calls are cancelled where
-    /// that is allowed; `slow`: the open calls caused the portion to end and count as slow or
-    /// failed calls of their servers if they exceed the usual call time.
+    /// Removes a portion from the machine's state and replies to it. Its open calls are cancelled
+    /// where that is allowed. With `slow` (after a missed deadline or the answer of another call),
+    /// open calls that exceed the usual call time count as slow and as failed calls of their
+    /// servers.
     fn close(
         &mut self,
         key: PortionKey,
--- a/crates/core/src/leaf/settings.rs
+++ b/crates/core/src/leaf/settings.rs
@@ -27,7 +27,7 @@
     pub(super) by_need: bool,
     /// Availability zone of this instance.
     pub(super) zone: Arc<str>,
-    /// Seed of the jitter of pauses.
+    /// Seed of the jitter of back-off delays.
     pub(super) seed: u64,
 }
 
@@ -105,14 +105,14 @@
         self
     }
 
-    /// Availability zone of this instance.
+    /// Sets the availability zone of this instance.
     #[must_use]
     pub fn zone(mut self, zone: &str) -> Self {
         self.0.zone = zone.into();
         self
     }
 
-    /// Seed of the jitter of pauses.
+    /// Sets the seed of the jitter of back-off delays.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.0.seed = seed;
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -12,7 +12,7 @@
 /// Status of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Unique name.
+    /// Unique name of the service.
     pub name: Arc<str>,
     /// Role of this instance for the service.
     pub rank: Rank,
@@ -59,7 +59,7 @@
 /// Status of a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server {
-    /// Unique name.
+    /// Unique name of the server.
     pub name: Arc<str>,
     /// Whether the server gets work, and the reason if not.
     pub state: State,
--- a/crates/core/src/leaf/timer.rs
+++ b/crates/core/src/leaf/timer.rs
@@ -18,7 +18,7 @@
     Late(PortionKey),
     /// The portion's first call has taken longer than the service's usual calls and may be hedged.
     Hedge(PortionKey),
-    /// A back-off of one of the service's servers ends.
+    /// The back-off of one of the service's servers ends.
     Pump(ServiceId),
     /// Periodic maintenance of a service: load reports, idle connections, old records.
     Upkeep(ServiceId),
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -24,7 +24,7 @@
 /// Name and address of an instance, for messages between instances.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// Unique name.
+    /// Unique name of the instance.
     pub name: Arc<str>,
     /// IP address and port of the instance's peer socket.
     pub address: Arc<str>,
@@ -33,9 +33,9 @@
 /// Another instance with its zone and processor share.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Neighbour {
-    /// The instance.
+    /// Name and address of the instance.
     pub peer: Peer,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: Arc<str>,
     /// Processor cores available to the instance, in thousandths of a core; 0 if unknown.
     pub millicores: u32,
@@ -44,7 +44,7 @@
 /// An instance that may send the work of a service, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// The instance.
+    /// Name and address of the instance.
     pub peer: Peer,
     /// Whether this instance's membership considers the candidate alive and not leaving.
     pub live: bool,
@@ -55,11 +55,11 @@
 /// A server (target) of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Server {
-    /// Unique name.
+    /// Unique name of the server.
     pub name: Arc<str>,
     /// IP address and port of the server.
     pub address: Arc<str>,
-    /// Availability zone.
+    /// Availability zone of the server.
     pub zone: Arc<str>,
     /// Incarnation of the server; increases with every start.
     pub incarnation: u64,
@@ -92,7 +92,7 @@
 /// A search service with its catalogue entry, servers and candidates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Unique name.
+    /// Unique name of the service.
     pub name: Arc<str>,
     /// The catalogue entry in force.
     pub entry: Arc<catalogue::Entry>,
@@ -121,7 +121,7 @@
         self.candidates.iter().any(|candidate| candidate.local)
     }
 
-    /// The operation with this name in the catalogue entry.
+    /// Finds the operation with this name in the catalogue entry.
     pub fn operation(&self, name: &str) -> Option<&catalogue::Operation> {
         self.entry.operations.iter().find(|operation| operation.name == name)
     }
@@ -164,7 +164,7 @@
     pub revision: u64,
     /// Whether this instance has enough information to serve callers.
     pub ready: bool,
-    /// Services that have a catalogue entry.
+    /// Services that have a catalogue entry, by key.
     ///
     /// Successive views share the services that did not change, because a change concerns few of
     /// many thousands.
@@ -220,7 +220,7 @@
         homes.is_empty() || region.is_some_and(|region| homes.iter().any(|home| **home == **region))
     }
 
-    /// The service of this name.
+    /// Finds the service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(*self.service_keys.get(name)?).map(|service| &**service)
     }
--- a/crates/core/tests/leaf/lanes.rs
+++ b/crates/core/tests/leaf/lanes.rs
@@ -39,9 +39,9 @@
         case("owner", service(vec![server_with_share(6)]), 4),
         case("owner with a small share", service(vec![server_with_share(3)]), 3),
         case("owner without a share", service(vec![server_with_share(0)]), 0),
-        case("next", service_with_earlier_candidates(1, true), 1),
-        case("spare", service_with_earlier_candidates(2, true), 0),
-        case("owner since the first is dead", service_with_earlier_candidates(1, false), 4),
+        case("first fallback owner", service_with_earlier_candidates(1, true), 1),
+        case("another candidate", service_with_earlier_candidates(2, true), 0),
+        case("owner after the first candidate died", service_with_earlier_candidates(1, false), 4),
     ];
     for case in cases {
         let bed = Bed::with(settings(), case.service);
@@ -152,7 +152,7 @@
         bed.advance(100);
         bed.close_all();
     }
-    assert!(refused, "nothing can be reached");
+    assert!(refused, "work is refused while no server is reachable");
     let mut served = false;
     for _ in 0..100 {
         send_sweep(&mut bed);
@@ -161,7 +161,7 @@
         served |= !bed.sent().is_empty();
         bed.answer_all(bed.sent());
     }
-    assert!(served, "they can be reached again");
+    assert!(served, "the servers accept connections again");
     // Without further work, the connections must be closed.
     bed.advance(30_000);
     assert_eq!(bed.opened.len(), 0, "no connection without work");
--- a/crates/core/tests/leaf/queue.rs
+++ b/crates/core/tests/leaf/queue.rs
@@ -105,7 +105,7 @@
     assert!(bed.retry_after() > 0);
     bed.log.clear();
     bed.work(with_budget(101, "check", 60));
-    assert!(bed.replies().is_empty(), "the urgent do not wait for the others");
+    assert!(bed.replies().is_empty(), "urgent work doesn't wait for other work");
 }
 
 /// Work that has waited too long must be refused while its entry can still use the remaining time,
--- a/crates/core/tests/leaf/stop.rs
+++ b/crates/core/tests/leaf/stop.rs
@@ -101,7 +101,7 @@
         wrong_answer("version", |answer| answer.version = 2, Reason::WrongVersion),
         wrong_answer("shard", |answer| answer.parts[0].shard = "s9".into(), Reason::WrongAnswer),
         wrong_answer("missing shard", |answer| answer.parts.truncate(1), Reason::WrongAnswer),
-        wrong_answer("doubled shard", |a| a.parts[1] = a.parts[0].clone(), Reason::WrongAnswer),
+        wrong_answer("duplicate shard", |a| a.parts[1] = a.parts[0].clone(), Reason::WrongAnswer),
     ];
     for case in cases {
         let mut bed = Bed::new();
--- a/crates/core/tests/leaf/world.rs
+++ b/crates/core/tests/leaf/world.rs
@@ -101,7 +101,7 @@
     }
 
     pub(crate) fn set_state(&mut self, lane: LaneKey, state: Lane) {
-        self.lanes.get_mut(&lane).expect("an open lane").1 = state;
+        self.lanes.get_mut(&lane).expect("an open connection").1 = state;
     }
 
     pub(crate) fn check(&mut self, actions: &[Action]) {
@@ -144,13 +144,13 @@
     }
 
     fn check_close(&mut self, lane: LaneKey) {
-        let (_, state) = self.lanes.remove(&lane).expect("an open lane is closed");
-        assert_ne!(state, Lane::Busy, "a call is cut");
+        let (_, state) = self.lanes.remove(&lane).expect("only an open connection is closed");
+        assert_ne!(state, Lane::Busy, "a closed connection carries a call");
     }
 
     fn occupy(&mut self, lane: LaneKey) {
-        let (_, state) = self.lanes.get(&lane).expect("an open lane is used");
-        assert_eq!(*state, Lane::Idle, "a lane carries one request at a time");
+        let (_, state) = self.lanes.get(&lane).expect("only an open connection is used");
+        assert_eq!(*state, Lane::Idle, "a connection carries one request at a time");
         self.set_state(lane, Lane::Control);
     }
 
@@ -164,8 +164,8 @@
         let open_calls = self.calls.values().filter(|call| call.address == address).count();
         assert!(open_calls < slots, "calls beyond the slots");
         let delivery = self.deliveries.get_mut(&request.payload).expect("a known delivery");
-        assert_eq!(delivery.replies, 0, "a call after the reply");
-        assert!(self.now < delivery.end, "a call after the deadline");
+        assert_eq!(delivery.replies, 0, "a call is sent after the reply");
+        assert!(self.now < delivery.end, "a call is sent after the deadline");
         delivery.may_have_run += 1;
         if request.operation == "book" {
             let sent = self.calls_by_key.entry(request.key.clone()).or_default();
