--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints that are equal for requests that are equal to the servers that run them.
+//! Fingerprints of requests: equal if the requests are the same to the servers that run them.
 
 use std::fmt;
 
--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -1,5 +1,5 @@
-//! The leaf machine: owns search services and sends work to their servers. It keeps each service's
-//! queue, the slots and pooled connections of the service's servers, hedges and retries.
+//! The leaf machine: owns search services and sends their work to the servers. The machine keeps
+//! each service's queue, the slots and pooled connections of its servers, hedges and retries.
 
 mod admission;
 mod attempt;
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -20,10 +20,10 @@
 /// Longest delay before a connection is opened again.
 const MAX_REOPEN_DELAY: Duration = Duration::from_secs(5);
 /// Longest delay before a connection is opened again while the server's service receives work. Few
-/// services do, and callers wait for their answers. After a loss of all instances the servers go on
-/// counting the connections of the lost instances and refuse new ones; with the delay growing
-/// further, the instance that was asked for these servers' portions noticed late that the servers
-/// accept connections again.
+/// services do, and callers wait for their answers. After a loss of all instances the servers
+/// continue to count the connections of the lost instances and refuse new ones; with a longer delay
+/// the instance that sends these servers' portions detected late that they accept connections
+/// again.
 const MAX_REOPEN_DELAY_WITH_DEMAND: Duration = Duration::from_secs(1);
 /// Time for which an instance other than the owner keeps connections that it opened because of
 /// work.
--- a/crates/core/src/leaf/queue.rs
+++ b/crates/core/src/leaf/queue.rs
@@ -77,7 +77,8 @@
 /// Queue of the waiting portions of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    /// Waiting portions of each class by turn (see [`turn`]), then by order of arrival.
+    /// Waiting portions of each class, ordered by [`turn`] (arrival plus a fraction of the time to
+    /// the deadline), then by order of arrival.
     classes: [BTreeMap<(Instant, u64), PortionKey>; CLASSES],
     /// Number of portions queued so far.
     sequence: u64,
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -24,8 +24,8 @@
     pub(super) struct ServiceId;
 }
 
-/// Time after receiving work from another instance for which this instance is considered to ask a
-/// service's servers on behalf of others.
+/// Time after receiving work from another instance for which this instance is considered to send a
+/// service's work on behalf of others.
 const HANDOVER_MEMORY: Duration = Duration::from_secs(5);
 /// Time after the arrival of work for which a service is considered in demand.
 const DEMAND_MEMORY: Duration = Duration::from_secs(5);
--- a/crates/core/tests/leaf/lanes.rs
+++ b/crates/core/tests/leaf/lanes.rs
@@ -13,8 +13,8 @@
     Server { share, ..server(1) }
 }
 
-/// The service with this instance at index `place` of the candidates; `live` tells whether the
-/// earlier candidates are live.
+/// The service with this instance at index `place` of the candidates; `live` is whether the earlier
+/// candidates are live.
 fn service_with_earlier_candidates(place: usize, live: bool) -> Service {
     let mut service = service(vec![server(1)]);
     let own = service.candidates[0].clone();
@@ -187,7 +187,7 @@
     assert_eq!(opened, 0, "after ten seconds without work");
 }
 
-/// All instances lose power at once. The servers go on counting the connections of the lost
+/// All instances lose power at once. The servers continue to count the connections of the lost
 /// instances for ten seconds and reset new ones. By then the reopen delay of the instance that
 /// sends all work had grown, and its sweeps failed for five more seconds although the servers
 /// accepted connections again.
