--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -1,4 +1,5 @@
-//! Owns services: slots and connections of their servers, queue, hedges and retries.
+//! The leaf machine: owns search services and sends their work to the servers. The machine keeps
+//! each service's queue, the slots and pooled connections of its servers, hedges and retries.
 
 mod admission;
 mod attempt;
