--- a/crates/core/tests/fleet/concert.rs
+++ b/crates/core/tests/fleet/concert.rs
@@ -1,4 +1,5 @@
-//! Many control machines in concert.
+//! Simulated fleets of many control machines: spread of changes, and failures of instances, links
+//! and the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 
 const ZONES: [&str; 3] = ["campanha", "sao-bento", "trindade"];
 pub(crate) const BOUND: Duration = Duration::from_secs(60);
-const LIMIT: u32 = 25;
+const CONNECTION_LIMIT: u32 = 25;
 
 pub(crate) fn name(number: usize) -> String {
     format!("entry-{number}")
@@ -23,7 +24,7 @@
     ZONES[number % ZONES.len()]
 }
 
-/// A platform that lists `count` instances and `services` services of two servers each.
+/// A platform that lists `count` instances, and `services` services of two servers each.
 pub(crate) fn platform(count: usize, services: usize) -> Fleet {
     let services: Vec<String> = (0..services).map(|at| format!("gate-{at}")).collect();
     let mut bodies = Vec::new();
@@ -34,20 +35,20 @@
             bodies.push(publish::server(&server, service, 1, State::Live));
         }
     }
-    let names: Vec<&str> = services.iter().map(String::as_str).collect();
-    bodies.push(publish::index("docks", 1, &names));
+    let service_names: Vec<&str> = services.iter().map(String::as_str).collect();
+    bodies.push(publish::index("docks", 1, &service_names));
     bodies.extend((0..count).map(|at| publish::instance(&name(at), zone(at), State::Live)));
     let mut fleet = Fleet::new();
     fleet.publish(publish::records(1, bodies));
     fleet
 }
 
-/// The same with all instances running and ready.
+/// A fleet with this platform, in which all instances are running and ready.
 pub(crate) fn fleet(count: usize, services: usize) -> Fleet {
     fleet_of(count, services, Timing::default())
 }
 
-/// The same with these time spans.
+/// A fleet with these time spans, in which all instances are running and ready.
 pub(crate) fn fleet_of(count: usize, services: usize, timing: Timing) -> Fleet {
     let mut fleet = platform(count, services);
     fleet.timing = timing;
@@ -63,22 +64,23 @@
     fleet.nodes.values().all(|node| node.machine.view().ready)
 }
 
-fn queue(node: &Node, service: &str) -> Option<u32> {
+fn queue_limit(node: &Node, service: &str) -> Option<u32> {
     let service = node.machine.view().service(service)?;
     Some(service.entry.limits?.queue)
 }
 
-/// All instances hold the entry of the service with this queue limit.
+/// Whether all instances have the service's entry with this queue limit in force.
 pub(crate) fn in_force(fleet: &Fleet, service: &str, limit: u32) -> bool {
-    fleet.nodes.values().all(|node| queue(node, service) == Some(limit))
+    fleet.nodes.values().all(|node| queue_limit(node, service) == Some(limit))
 }
 
-fn owner(node: &Node, service: &str) -> Option<Arc<str>> {
+fn owner_name(node: &Node, service: &str) -> Option<Arc<str>> {
     let owner = node.machine.view().service(service)?.owner()?;
     Some(Arc::clone(&owner.peer.name))
 }
 
-/// No instance holds `name` for the owner of any service, and each service has an owner.
+/// Whether each service has an owner, and no other instance considers `name` the owner of any
+/// service.
 pub(crate) fn nobody_uses(fleet: &Fleet, name: &str) -> bool {
     let others = fleet.nodes.iter().filter(|(other, _)| *other != name);
     others.map(|(_, node)| node.machine.view()).all(|view| {
@@ -88,131 +90,143 @@
     })
 }
 
-/// All instances name the same live owner for each service.
+/// Whether all instances agree on a live owner for each service.
 pub(crate) fn agreed(fleet: &Fleet) -> bool {
-    let names = |node: &Node| -> Vec<_> {
+    let owner_names = |node: &Node| -> Vec<_> {
         let view = node.machine.view();
         let mut services: Vec<_> = view.services.values().collect();
         services.sort_by_key(|service| &service.name);
         let owners = services.iter().map(|service| service.owner());
         owners.map(|owner| owner.map(|owner| Arc::clone(&owner.peer.name))).collect()
     };
-    let mut all = fleet.nodes.values().map(names);
-    let first = all.next().expect("a node");
+    let mut all = fleet.nodes.values().map(owner_names);
+    let first = all.next().expect("the fleet has an instance");
     first.iter().all(Option::is_some) && all.all(|other| other == first)
 }
 
 pub(crate) fn assert_caps(fleet: &Fleet) {
-    for (server, &most) in &fleet.most_shares {
-        assert!(most <= LIMIT, "{server}: {most} connections");
+    for (server, &largest_total) in &fleet.max_total_shares {
+        assert!(
+            largest_total <= CONNECTION_LIMIT,
+            "{server}: shares of {largest_total} connections"
+        );
     }
 }
 
-fn change(revision: u64, queue: u32) -> Record {
+fn changed_entry(revision: u64, queue: u32) -> Record {
     publish::record(revision, publish::entry("gate-3", queue))
 }
 
-/// The change as the platform's answer to a watch.
-fn page(revision: u64, queue: u32) -> Event {
-    Event::Page(Page { head: revision, records: vec![change(revision, queue)], ..Page::default() })
+/// An answer of the platform to a watch that contains the change.
+fn page_with_change(revision: u64, queue: u32) -> Event {
+    Event::Page(Page {
+        head: revision,
+        records: vec![changed_entry(revision, queue)],
+        ..Page::default()
+    })
 }
 
-/// A catalogue change that reached one instance before the platform went down is in force on all
-/// 24 instances before half a digest period has passed, as each passes on what is news to it.
+/// A catalogue change reaches one instance before the platform fails. It must be in force on all 24
+/// instances before half a digest period has passed, because each instance forwards records that
+/// are new to it.
 #[test]
 fn change_spreads_without_the_platform() {
     let mut fleet = fleet(24, 20);
     fleet.silence_platform();
     fleet.run(Duration::from_secs(1));
-    fleet.give(&name(5), page(1000, 7));
+    fleet.give(&name(5), page_with_change(1000, 7));
     fleet.until("change everywhere", Duration::from_millis(500), |fleet| {
         in_force(fleet, "gate-3", 7)
     });
 }
 
-/// The frames that carry a change are lost on most links. Digests find the difference.
+/// The frames with a change are lost on most links. Digests must detect the difference and repair
+/// it.
 #[test]
-fn digests_repair_lost_news() {
+fn digests_recover_lost_changes() {
     let mut fleet = fleet(9, 4);
     fleet.silence_platform();
     fleet.island = (0..1).map(name).collect();
-    fleet.give(&name(0), page(1000, 7));
+    fleet.give(&name(0), page_with_change(1000, 7));
     fleet.run(Duration::from_millis(100));
     fleet.island.clear();
     fleet.until("change everywhere", Duration::from_secs(7), |fleet| in_force(fleet, "gate-3", 7));
 }
 
-/// An owner is killed. Its links break, and every other instance gives its services to the next
-/// candidate; with silent links that takes the window of silence longer.
+/// An owner is killed. When its connections break, every other instance moves its services to the
+/// next candidate; if the links only go silent, the failure detection timeouts come first.
 #[test]
-fn services_of_a_dead_owner_move() {
-    for (links, bound) in [(true, 50), (false, 2500)] {
+fn services_of_a_dead_owner_move_to_the_next_candidate() {
+    for (break_links, bound) in [(true, 50), (false, 2500)] {
         let mut fleet = fleet(9, 20);
-        let dead = owner(&fleet.nodes[&name(0)], "gate-0").expect("owned");
-        fleet.kill(&dead, links);
+        let dead_owner = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
+        fleet.kill(&dead_owner, break_links);
         let bound = Duration::from_millis(bound);
-        fleet.until("moved", bound, |fleet| nobody_uses(fleet, &dead));
+        fleet.until("moved", bound, |fleet| nobody_uses(fleet, &dead_owner));
         fleet.until("agreed", BOUND, agreed);
         assert_caps(&fleet);
     }
 }
 
-/// A whole zone goes. Both other zones hold candidates with shares of every server.
+/// All instances of a zone fail. Both other zones have candidates with connection shares of every
+/// server.
 #[test]
-fn services_survive_a_zone() {
+fn services_survive_the_loss_of_a_zone() {
     let mut fleet = fleet(24, 20);
-    let lost: Vec<String> = (0..24).filter(|at| at % 3 == 1).map(name).collect();
-    for name in &lost {
+    let lost_instances: Vec<String> = (0..24).filter(|at| at % 3 == 1).map(name).collect();
+    for name in &lost_instances {
         fleet.kill(name, false);
     }
     fleet.until("moved", Duration::from_secs(5), |fleet| {
-        lost.iter().all(|name| nobody_uses(fleet, name))
+        lost_instances.iter().all(|name| nobody_uses(fleet, name))
     });
     fleet.until("agreed", BOUND, agreed);
     assert_caps(&fleet);
 }
 
-/// The fleet is cut in two, with the platform on neither side. Each side serves alone, a change
-/// reaches one side, and when the cut heals it is in force everywhere.
+/// A network partition splits the fleet in two, and the platform answers neither half. Each half
+/// serves on its own, different changes reach each half, and after the partition the newer one must
+/// be in force on all instances.
 #[test]
-fn halves_serve_and_the_newer_catalogue_wins() {
+fn partitioned_halves_serve_and_then_adopt_the_newer_catalogue() {
     let mut fleet = fleet(24, 20);
     fleet.silence_platform();
     fleet.island = (0..10).map(name).collect();
     fleet.run(Duration::from_secs(20));
-    for (own, node) in &fleet.nodes {
-        let side = fleet.island.contains(own);
+    for (instance_name, node) in &fleet.nodes {
+        let on_island = fleet.island.contains(instance_name);
         for service in node.machine.view().services.values() {
             let owner = service.owner().expect("an owner on this side");
-            assert_eq!(fleet.island.contains(&*owner.peer.name), side, "{own}");
+            assert_eq!(fleet.island.contains(&*owner.peer.name), on_island, "{instance_name}");
         }
     }
-    fleet.give(&name(3), page(1000, 7));
-    fleet.give(&name(20), page(1001, 8));
+    fleet.give(&name(3), page_with_change(1000, 7));
+    fleet.give(&name(20), page_with_change(1001, 8));
     fleet.run(Duration::from_secs(5));
-    assert_eq!(queue(&fleet.nodes[&name(1)], "gate-3"), Some(7));
+    assert_eq!(queue_limit(&fleet.nodes[&name(1)], "gate-3"), Some(7));
     fleet.island.clear();
     fleet.until("newer everywhere", BOUND, |fleet| in_force(fleet, "gate-3", 8));
     fleet.until("agreed", BOUND, agreed);
     assert_caps(&fleet);
 }
 
-/// An instance drains. Everyone stops to give it work long before the platform lists it.
+/// An instance drains. All others must stop giving it work long before the platform lists it as
+/// leaving.
 #[test]
 fn draining_instance_gets_no_new_work() {
     let mut fleet = fleet(24, 20);
     fleet.silence_platform();
-    let leaving = owner(&fleet.nodes[&name(0)], "gate-0").expect("owned");
+    let leaving = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
     fleet.give(&leaving, Event::Drain);
     fleet.until("left", Duration::from_secs(1), |fleet| nobody_uses(fleet, &leaving));
     fleet.run(Duration::from_secs(10));
-    assert!(nobody_uses(&fleet, &leaving), "for good");
+    assert!(nobody_uses(&fleet, &leaving), "the instance must not get work again");
 }
 
-/// One instance sees a server leave while the platform is down. Soon no instance gives it work,
-/// not even one that was cut off meanwhile.
+/// One instance sees that a server is leaving while the platform is down. Soon all instances must
+/// know it, even those that were cut off meanwhile.
 #[test]
-fn leaving_server_is_known_everywhere() {
+fn leaving_server_is_known_to_all_instances() {
     let mut fleet = fleet(9, 4);
     fleet.silence_platform();
     fleet.island = (0..2).map(name).collect();
@@ -221,44 +235,44 @@
     fleet.run(Duration::from_secs(2));
     fleet.island.clear();
     fleet.until("known", Duration::from_secs(15), |fleet| {
-        let leaving = |node: &Node| {
+        let lists_server_as_leaving = |node: &Node| {
             let view = node.machine.view();
             let service = view.service("gate-0").expect("known");
             service.servers[1].leaving && !service.servers[0].leaving
         };
-        fleet.nodes.values().all(leaving)
+        fleet.nodes.values().all(lists_server_as_leaving)
     });
 }
 
-/// A process is stopped for 30 s, is held dead meanwhile, and wakes with old frames queued. It
-/// must not declare the others dead, and soon all hold it alive again.
+/// A process is paused for 30 s and considered dead meanwhile; when it resumes, old frames are
+/// queued. It must not declare the others dead, and soon all must consider it alive again.
 #[test]
-fn frozen_instance_returns() {
+fn paused_process_rejoins_without_declaring_others_dead() {
     let mut fleet = fleet(9, 20);
-    let frozen = owner(&fleet.nodes[&name(0)], "gate-0").expect("owned");
-    fleet.freeze(&frozen);
+    let paused = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
+    fleet.pause(&paused);
     fleet.run(Duration::from_secs(30));
-    assert!(nobody_uses(&fleet, &frozen));
-    fleet.thaw(&frozen, Duration::from_secs(30));
-    let mut woken = fleet.nodes[&*frozen].machine.members();
-    assert!(woken.all(|member| member.liveness == Liveness::Alive));
-    drop(woken);
+    assert!(nobody_uses(&fleet, &paused));
+    fleet.resume(&paused, Duration::from_secs(30));
+    let mut members = fleet.nodes[&*paused].machine.members();
+    assert!(members.all(|member| member.liveness == Liveness::Alive));
+    drop(members);
     fleet.until("agreed", Duration::from_secs(5), agreed);
-    assert_eq!(owner(&fleet.nodes[&name(0)], "gate-0"), Some(frozen));
+    assert_eq!(owner_name(&fleet.nodes[&name(0)], "gate-0"), Some(paused));
 }
 
-/// A new process finds a platform that was restored from an old copy. Its peers know better, and
-/// neither it nor they go back to what the platform says.
+/// A new process starts while the platform has been restored from an old copy. Its peers have newer
+/// records, and neither it nor they may go back to the old ones.
 #[test]
-fn stale_platform_brings_nothing_back() {
+fn stale_platform_does_not_restore_old_records() {
     let mut fleet = fleet(9, 4);
     fleet.publish([
-        change(1000, 7),
+        changed_entry(1000, 7),
         publish::record(1001, publish::tombstone(Kind::Entry, "gate-0")),
     ]);
     fleet.run(Duration::from_secs(5));
     fleet.silence_platform();
-    fleet.wake_platform(500);
+    fleet.restore_platform(500);
     fleet.kill(&name(2), true);
     fleet.incarnation = 2;
     fleet.seeds = (0..9).map(|at| publish::address(&name(at))).collect();
@@ -266,16 +280,16 @@
     fleet.until("ready", BOUND, all_ready);
     fleet.run(Duration::from_secs(30));
     for node in fleet.nodes.values() {
-        assert_eq!(queue(node, "gate-3"), Some(7));
+        assert_eq!(queue_limit(node, "gate-3"), Some(7));
         assert!(node.machine.view().service("gate-0").is_none(), "withdrawn");
     }
 }
 
 /// The clock of a host is set back and its instance restarts, so that its incarnation is lower than
-/// the last one its peers knew. They must take it back as soon as any other newcomer, and not only
-/// when they have forgotten the predecessor.
+/// the last one known to its peers. The peers must consider it alive as soon as any other new
+/// instance, not only when they have forgotten its predecessor.
 #[test]
-fn restart_under_a_clock_set_back() {
+fn restart_with_clock_set_back_is_alive_to_peers_soon() {
     let mut fleet = fleet(9, 4);
     fleet.seeds = vec![publish::address(&name(0))];
     for incarnation in [9, 2] {
@@ -283,18 +297,18 @@
         fleet.incarnation = incarnation;
         fleet.start(&name(2), zone(2));
         fleet.run(Duration::from_secs(4));
-        for at in (0..9).filter(|at| *at != 2) {
-            let mut members = fleet.nodes[&name(at)].machine.members();
+        for observer in (0..9).filter(|observer| *observer != 2) {
+            let mut members = fleet.nodes[&name(observer)].machine.members();
             let member = members.find(|member| *member.name == *name(2));
-            let held = member.map(|member| member.liveness);
-            assert_eq!(held, Some(Liveness::Alive), "incarnation {incarnation}, at {at}");
+            let liveness = member.map(|member| member.liveness);
+            assert_eq!(liveness, Some(Liveness::Alive), "incarnation {incarnation}, at {observer}");
         }
     }
 }
 
-/// A new process finds the platform down. Its peers give it everything.
+/// A new process starts while the platform is down. Its peers must send it all records.
 #[test]
-fn newcomer_learns_from_peers_alone() {
+fn new_instance_gets_all_records_from_peers() {
     let mut fleet = fleet(9, 4);
     fleet.silence_platform();
     fleet.seeds = vec![publish::address(&name(0))];
@@ -306,7 +320,7 @@
     assert!(servers.all(|server| server.share == 0), "it is not published");
 }
 
-/// No source answers at the start: the instance never becomes ready, and goes on asking.
+/// No source answers at the start: the instance must never become ready, and must keep asking.
 #[test]
 fn start_without_any_source_is_never_ready() {
     let mut fleet = Fleet::new();
@@ -320,11 +334,11 @@
     assert!(node.sent >= 100, "{} frames", node.sent);
 }
 
-/// An idle fleet: the frames of one instance and the platform's waiting watches must not grow with
-/// the number of instances.
+/// In an idle fleet, neither the number of frames per instance nor the number of reads of the
+/// platform may grow with the number of instances.
 #[test]
-fn idle_cost_does_not_grow() {
-    let cost = |count: usize| {
+fn idle_cost_per_instance_does_not_grow_with_the_fleet() {
+    let frames_and_reads = |count: usize| {
         let mut fleet = fleet(count, 8);
         fleet.run(Duration::from_secs(30));
         let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.sent).sum::<usize>();
@@ -333,11 +347,18 @@
         fleet.run(Duration::from_secs(10));
         (sent(&fleet) - sent_before, reads(&fleet) - reads_before)
     };
-    let (small, reads) = cost(9);
-    let (large, more_reads) = cost(36);
-    assert!(large <= small * 4 * 11 / 10, "{small} and {large} frames");
-    // Two readers in each of three zones, and none asks before its last wait is over.
-    let wait = Timing::default().contact * 3 / 8;
-    let most = 6 * (10_000 / wait.as_millis() as usize);
-    assert!(more_reads <= reads && reads <= most, "{reads} and {more_reads} reads in 10 s");
+    let (small_fleet_frames, reads) = frames_and_reads(9);
+    let (large_fleet_frames, large_fleet_reads) = frames_and_reads(36);
+    assert!(
+        large_fleet_frames <= small_fleet_frames * 4 * 11 / 10,
+        "{small_fleet_frames} and {large_fleet_frames} frames"
+    );
+    // There are two readers in each of three zones, and none reads again before its last watch has
+    // ended.
+    let watch_wait = Timing::default().contact * 3 / 8;
+    let max_reads = 6 * (10_000 / watch_wait.as_millis() as usize);
+    assert!(
+        large_fleet_reads <= reads && reads <= max_reads,
+        "{reads} and {large_fleet_reads} reads in 10 s"
+    );
 }
--- a/crates/core/tests/fleet/disorder.rs
+++ b/crates/core/tests/fleet/disorder.rs
@@ -1,4 +1,4 @@
-//! A small fleet under any order of failures.
+//! Random sequences of failures in a small fleet.
 
 use std::time::Duration;
 
@@ -9,90 +9,94 @@
 use crate::harness::{Fleet, Node};
 use crate::publish;
 
-const INSTANCES: usize = 6;
-const LIMIT: u32 = 25;
-const SETTLED: Duration = Duration::from_secs(90);
+const INSTANCE_COUNT: usize = 6;
+const CONNECTION_LIMIT: u32 = 25;
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(90);
 
-struct Session {
+struct Simulation {
     fleet: Fleet,
     revision: u64,
-    /// Queue limit of the newest published change of the first entry.
-    queue: u32,
-    /// The last instance is withdrawn from the list.
-    withdrawn: bool,
+    /// Queue limit in the newest published version of the first entry.
+    queue_limit: u32,
+    /// Whether the last instance is withdrawn from the published list.
+    last_instance_withdrawn: bool,
 }
 
-impl Session {
+impl Simulation {
     fn new() -> Self {
-        let mut fleet = platform(INSTANCES, 3);
-        for at in 0..INSTANCES {
+        let mut fleet = platform(INSTANCE_COUNT, 3);
+        for at in 0..INSTANCE_COUNT {
             fleet.start(&name(at), zone(at));
         }
-        Self { fleet, revision: 1000, queue: 100, withdrawn: false }
+        Self { fleet, revision: 1000, queue_limit: 100, last_instance_withdrawn: false }
     }
 
-    fn step(&mut self, choice: u8, which: u8) {
-        let which = usize::from(which);
-        let own = name(which % INSTANCES);
-        match choice % 9 {
-            0 => self.fleet.island = (0..which % INSTANCES).map(name).collect(),
+    fn step(&mut self, action: u8, selector: u8) {
+        let selector = usize::from(selector);
+        let instance_name = name(selector % INSTANCE_COUNT);
+        match action % 9 {
+            0 => self.fleet.island = (0..selector % INSTANCE_COUNT).map(name).collect(),
             1 => self.fleet.island.clear(),
             2 => self.fleet.silence_platform(),
-            3 => self.fleet.wake_platform(u64::MAX),
-            4 => self.change(which),
-            5 => self.restart(&own, which),
-            6 => self.kill(&own, which),
-            7 => self.leave(which),
-            _ => self.toggle(),
+            3 => self.fleet.restore_platform(u64::MAX),
+            4 => self.change_entry(selector),
+            5 => self.restart(&instance_name, selector),
+            6 => self.kill(&instance_name, selector),
+            7 => self.report_leaving_server(selector),
+            _ => self.toggle_last_instance(),
         }
-        self.fleet.run(Duration::from_millis(200 * (which as u64 % 8)));
+        self.fleet.run(Duration::from_millis(200 * (selector as u64 % 8)));
     }
 
-    fn change(&mut self, which: usize) {
+    fn change_entry(&mut self, selector: usize) {
         self.revision += 1;
-        self.queue = 1 + which as u32;
-        self.fleet.put(self.revision, publish::entry("gate-0", self.queue));
+        self.queue_limit = 1 + selector as u32;
+        self.fleet.put(self.revision, publish::entry("gate-0", self.queue_limit));
     }
 
-    /// Lists that differ by one instance hold the caps together however long they differ.
-    fn toggle(&mut self) {
-        let last = INSTANCES - 1;
-        let body = if self.withdrawn {
+    /// Withdraws the last instance from the published list, or publishes it again. Instances whose
+    /// lists differ by one instance must together stay within the connection limits, however long
+    /// the lists differ.
+    fn toggle_last_instance(&mut self) {
+        let last = INSTANCE_COUNT - 1;
+        let body = if self.last_instance_withdrawn {
             publish::instance(&name(last), zone(last), State::Live)
         } else {
             publish::tombstone(Kind::Instance, &name(last))
         };
-        self.withdrawn = !self.withdrawn;
+        self.last_instance_withdrawn = !self.last_instance_withdrawn;
         self.revision += 1;
         self.fleet.put(self.revision, body);
     }
 
-    fn restart(&mut self, own: &str, which: usize) {
-        self.kill(own, which);
+    fn restart(&mut self, instance_name: &str, selector: usize) {
+        self.kill(instance_name, selector);
         self.fleet.incarnation += 1;
-        self.fleet.seeds = (0..INSTANCES).map(|at| publish::address(&name(at))).collect();
-        self.fleet.start(own, zone(which % INSTANCES));
+        self.fleet.seeds = (0..INSTANCE_COUNT).map(|at| publish::address(&name(at))).collect();
+        self.fleet.start(instance_name, zone(selector % INSTANCE_COUNT));
     }
 
-    fn kill(&mut self, own: &str, which: usize) {
-        if self.fleet.nodes.contains_key(own) {
-            self.fleet.kill(own, which.is_multiple_of(2));
+    fn kill(&mut self, instance_name: &str, selector: usize) {
+        if self.fleet.nodes.contains_key(instance_name) {
+            self.fleet.kill(instance_name, selector.is_multiple_of(2));
         }
     }
 
-    fn leave(&mut self, which: usize) {
-        let seen =
-            Event::ServerLeaving { server: format!("gate-{}-0", which % 3).into(), incarnation: 1 };
-        if let Some(own) = self.fleet.nodes.keys().next().cloned() {
-            self.fleet.give(&own, seen);
+    fn report_leaving_server(&mut self, selector: usize) {
+        let seen = Event::ServerLeaving {
+            server: format!("gate-{}-0", selector % 3).into(),
+            incarnation: 1,
+        };
+        if let Some(instance_name) = self.fleet.nodes.keys().next().cloned() {
+            self.fleet.give(&instance_name, seen);
         }
     }
 
-    /// All failures end; what was killed is started again.
-    fn heal(&mut self) {
+    /// Ends all failures and restarts the instances that were killed.
+    fn end_failures(&mut self) {
         self.fleet.island.clear();
-        self.fleet.wake_platform(u64::MAX);
-        for at in 0..INSTANCES {
+        self.fleet.restore_platform(u64::MAX);
+        for at in 0..INSTANCE_COUNT {
             if !self.fleet.nodes.contains_key(&name(at)) {
                 self.restart(&name(at), at);
             }
@@ -100,59 +104,64 @@
     }
 }
 
-fn digests(fleet: &Fleet) -> Vec<Vec<(String, u64)>> {
+fn known_revisions(fleet: &Fleet) -> Vec<Vec<(String, u64)>> {
     fleet.nodes.values().map(|node| publish::known(&node.machine)).collect()
 }
 
-fn has_converged(fleet: &Fleet, queue: u32) -> bool {
-    let known = digests(fleet);
-    let servers = |node: &Node| -> Vec<bool> {
+fn has_converged(fleet: &Fleet, queue_limit: u32) -> bool {
+    let revisions = known_revisions(fleet);
+    let leaving_flags_of = |node: &Node| -> Vec<bool> {
         let view = node.machine.view();
         let mut servers: Vec<_> = view.services.values().flat_map(|s| s.servers.clone()).collect();
         servers.sort_by(|one, other| one.name.cmp(&other.name));
         servers.iter().map(|server| server.leaving).collect()
     };
-    let mut leaving = fleet.nodes.values().map(servers);
-    let first = leaving.next();
+    let mut leaving_flags = fleet.nodes.values().map(leaving_flags_of);
+    let first = leaving_flags.next();
     all_ready(fleet)
-        && known.iter().all(|other| *other == known[0])
-        && in_force(fleet, "gate-0", queue)
-        && leaving.all(|other| Some(other) == first)
+        && revisions.iter().all(|other| *other == revisions[0])
+        && in_force(fleet, "gate-0", queue_limit)
+        && leaving_flags.all(|other| Some(other) == first)
 }
 
-/// Links are cut and healed, instances killed and restarted, the platform is silenced, catalogue
-/// changes, leaving servers and a withdrawn instance come in between, in any order. The shares of a
-/// server never exceed its limit, and when the failures end every instance soon holds the newest of
-/// everything.
+/// In random order, links are cut and restored, instances killed and restarted, the platform
+/// silenced, entries changed, servers reported as leaving and an instance withdrawn. The shares of
+/// a server must never exceed its connection limit, and soon after the failures end every instance
+/// must have the newest records.
 #[test]
-fn any_failures_hold_caps_and_converge() {
+fn random_failures_keep_connection_limits_and_converge() {
     ladder_property::check_short(40, 60).with_type::<Vec<(u8, u8)>>().for_each(|steps| {
-        let mut session = Session::new();
-        for &(choice, which) in steps.iter().take(20) {
-            session.step(choice, which);
+        let mut simulation = Simulation::new();
+        for &(choice, selector) in steps.iter().take(20) {
+            simulation.step(choice, selector);
         }
-        session.heal();
-        let queue = session.queue;
-        let done = |fleet: &Fleet| has_converged(fleet, queue);
-        session.fleet.until("converged", SETTLED, done);
-        let most = session.fleet.most_shares.values().max();
-        assert!(most.is_none_or(|&most| most <= LIMIT), "{most:?}");
+        simulation.end_failures();
+        let queue_limit = simulation.queue_limit;
+        let converged = |fleet: &Fleet| has_converged(fleet, queue_limit);
+        simulation.fleet.until("converged", CONVERGENCE_TIMEOUT, converged);
+        let largest_total = simulation.fleet.max_total_shares.values().max();
+        assert!(
+            largest_total.is_none_or(|&largest_total| largest_total <= CONNECTION_LIMIT),
+            "{largest_total:?}"
+        );
     });
 }
 
-/// A racing withdrawal: the tombstone of an instance and its return are published while half of
-/// the fleet is cut off. Whatever arrives first, the return is in force everywhere.
+/// The tombstone of an instance and its return are published while half of the fleet is cut off.
+/// Whichever arrives first, the return must be in force on all instances.
 #[test]
-fn withdrawal_and_return_race() {
-    let mut session = Session::new();
-    session.fleet.until("ready", SETTLED, all_ready);
-    session.fleet.island = (0..3).map(name).collect();
-    session.fleet.put(2000, publish::tombstone(Kind::Instance, &name(5)));
-    session.fleet.silence_platform();
-    session.fleet.run(Duration::from_secs(2));
-    session.fleet.put(2001, publish::instance(&name(5), zone(5), State::Live));
-    session.heal();
-    session.fleet.until("returned", SETTLED, |fleet| {
-        digests(fleet).iter().all(|known| known.contains(&("instance entry-5".to_owned(), 2001)))
+fn instance_return_overrides_racing_withdrawal() {
+    let mut simulation = Simulation::new();
+    simulation.fleet.until("ready", CONVERGENCE_TIMEOUT, all_ready);
+    simulation.fleet.island = (0..3).map(name).collect();
+    simulation.fleet.put(2000, publish::tombstone(Kind::Instance, &name(5)));
+    simulation.fleet.silence_platform();
+    simulation.fleet.run(Duration::from_secs(2));
+    simulation.fleet.put(2001, publish::instance(&name(5), zone(5), State::Live));
+    simulation.end_failures();
+    simulation.fleet.until("returned", CONVERGENCE_TIMEOUT, |fleet| {
+        known_revisions(fleet)
+            .iter()
+            .all(|known| known.contains(&("instance entry-5".to_owned(), 2001)))
     });
 }
--- a/crates/core/tests/fleet/harness.rs
+++ b/crates/core/tests/fleet/harness.rs
@@ -1,4 +1,5 @@
-//! Control machines joined by queues under a virtual clock, with a platform that can be silenced.
+//! Simulated fleet: control machines connected by message queues under a virtual clock, with a
+//! platform whose failures the tests control.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,28 +15,28 @@
 
 use crate::{publish, session};
 
-const HOP: Duration = Duration::from_millis(1);
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 
 struct Watch {
     after: u64,
-    until: Instant,
-    /// When it fails if it is lost.
-    failed: Instant,
-    /// Its answer never comes, and nothing says so.
+    answer_by: Instant,
+    /// When the read fails if its answer is lost.
+    fails_at: Instant,
+    /// Whether the platform's answer is lost without an error.
     lost: bool,
 }
 
 impl Watch {
-    /// When it is answered at the latest, or fails.
-    fn due(&self) -> Instant {
-        if self.lost { self.failed } else { self.until }
+    /// Latest time at which the read is answered or fails.
+    fn due_at(&self) -> Instant {
+        if self.lost { self.fails_at } else { self.answer_by }
     }
 }
 
 pub(crate) struct Node {
     pub machine: Machine,
     watch: Option<Watch>,
-    frozen: bool,
+    paused: bool,
     inbox: Vec<Event>,
     pub reads: usize,
     pub sent: usize,
@@ -47,35 +48,36 @@
 pub(crate) struct Fleet {
     pub now: Instant,
     pub nodes: BTreeMap<String, Node>,
-    queue: BTreeMap<(Instant, u64), (String, Event)>,
+    event_queue: BTreeMap<(Instant, u64), (String, Event)>,
     sequence: u64,
     records: Vec<Record>,
     platform_up: bool,
-    /// The platform's answers are lost.
+    /// Whether the platform's answers to new reads are lost.
     answers_lost: bool,
-    /// Names of the instances that the platform refuses.
+    /// Names of the instances whose reads the platform refuses.
     pub refused: BTreeSet<String>,
-    /// Time spans of the instances that start from now on.
+    /// Time spans of the instances that are started from now on.
     pub timing: Timing,
-    /// Where they learn of each other.
+    /// Where instances that are started from now on learn of each other.
     pub listing: Listing,
-    /// Thousandths of a processor core that they may use.
+    /// Thousandths of a processor core that instances started from now on may use.
     pub millicores: u32,
-    /// A first read answers with all that is published and says so.
-    pub lists_whole: bool,
-    /// Bytes of frames that were sent to another zone.
-    pub crossed: usize,
-    /// Names of the instances on one side of a cut.
+    /// Whether the platform answers a first read with a full listing, marked as such.
+    pub sends_full_listing: bool,
+    /// Number of bytes of the frames sent to another zone so far.
+    pub cross_zone_bytes: usize,
+    /// Names of the instances on one side of a network partition.
     pub island: BTreeSet<String>,
-    /// Names of the instances whose watches the platform leaves waiting.
+    /// Names of the instances whose watches never get new records from the platform.
     pub unreached: BTreeSet<String>,
     pub seeds: Vec<String>,
     pub incarnation: u64,
-    idle_steps: usize,
-    /// What the machines asked for, but for frames without news.
-    pub log: Vec<String>,
-    /// Connections that the running instances may hold together, by server, at most so far.
-    pub most_shares: BTreeMap<Arc<str>, u32>,
+    steps_without_progress: usize,
+    /// One line per action of the machines, without counters and frames that carry no changes.
+    pub action_log: Vec<String>,
+    /// Largest sum so far of the connection shares that running instances had of a server, by
+    /// server.
+    pub max_total_shares: BTreeMap<Arc<str>, u32>,
 }
 
 impl Fleet {
@@ -101,7 +103,7 @@
         let node = Node {
             machine: Machine::new(settings, self.now),
             watch: None,
-            frozen: false,
+            paused: false,
             inbox: Vec::new(),
             reads: 0,
             sent: 0,
@@ -112,21 +114,22 @@
         self.give(name, Event::Tick);
     }
 
-    /// The process dies; with `links`, the peers' links to it break.
-    pub(crate) fn kill(&mut self, name: &str, links: bool) {
+    /// Ends an instance's process; with `break_links`, the peers detect that their connections to
+    /// it broke.
+    pub(crate) fn kill(&mut self, name: &str, break_links: bool) {
         self.nodes.remove(name);
-        for peer in self.names().iter().filter(|_| links) {
-            self.push(peer, Event::LinkDown(name.into()));
+        for peer in self.names().iter().filter(|_| break_links) {
+            self.schedule(peer, Event::LinkDown(name.into()));
         }
     }
 
-    pub(crate) fn freeze(&mut self, name: &str) {
-        self.node(name).frozen = true;
+    pub(crate) fn pause(&mut self, name: &str) {
+        self.node(name).paused = true;
     }
 
-    pub(crate) fn thaw(&mut self, name: &str, gap: Duration) {
-        self.node(name).frozen = false;
-        self.give(name, Event::Paused(gap));
+    pub(crate) fn resume(&mut self, name: &str, pause_length: Duration) {
+        self.node(name).paused = false;
+        self.give(name, Event::Paused(pause_length));
         for event in std::mem::take(&mut self.node(name).inbox) {
             self.deliver(name, event);
         }
@@ -137,7 +140,7 @@
     }
 
     pub(crate) fn node(&mut self, name: &str) -> &mut Node {
-        self.nodes.get_mut(name).expect("the node runs")
+        self.nodes.get_mut(name).expect("the instance is running")
     }
 
     /// Makes the platform publish records and answer waiting watches.
@@ -151,13 +154,13 @@
         }
     }
 
-    /// The same with one record.
+    /// Makes the platform publish one record and answer waiting watches.
     pub(crate) fn put(&mut self, revision: u64, body: Body) {
         self.publish([publish::record(revision, body)]);
     }
 
-    /// The platform answers again, perhaps from a replica that forgot all above a revision.
-    pub(crate) fn wake_platform(&mut self, newest: u64) {
+    /// The platform answers again, possibly from a replica that lacks all records above a revision.
+    pub(crate) fn restore_platform(&mut self, newest: u64) {
         self.platform_up = true;
         self.records.retain(|record| record.revision <= newest);
     }
@@ -167,12 +170,12 @@
         self.platform_up = false;
         for name in self.names() {
             if self.node(&name).watch.take().is_some() {
-                self.push(&name, Event::WatchFailed);
+                self.schedule(&name, Event::WatchFailed);
             }
         }
     }
 
-    /// The answers to all reads that are open, or that start before the answers return, are lost.
+    /// Loses the answers to all open reads, and to all that start before [`Fleet::return_answers`].
     pub(crate) fn lose_answers(&mut self) {
         self.answers_lost = true;
         for watch in self.nodes.values_mut().filter_map(|node| node.watch.as_mut()) {
@@ -180,89 +183,90 @@
         }
     }
 
-    /// Reads that start from now on are answered.
+    /// The platform answers the reads that start from now on.
     pub(crate) fn return_answers(&mut self) {
         self.answers_lost = false;
     }
 
-    /// The platform refuses these instances and fails what they have open; it serves all others.
+    /// The platform refuses these instances and fails their open reads; it serves all others.
     pub(crate) fn refuse(&mut self, names: &[String]) {
         self.refused.extend(names.iter().cloned());
         for name in names {
             if self.node(name).watch.take().is_some() {
-                self.push(name, Event::WatchFailed);
+                self.schedule(name, Event::WatchFailed);
             }
         }
     }
 
-    fn page(&self, after: u64) -> Page {
-        let newer = self.records.iter().filter(|record| record.revision > after);
-        let mut records: Vec<Record> = newer.cloned().collect();
+    fn page(&self, after_revision: u64) -> Page {
+        let newer_records = self.records.iter().filter(|record| record.revision > after_revision);
+        let mut records: Vec<Record> = newer_records.cloned().collect();
         records.sort_by_key(|record| record.revision);
         let head = self.records.iter().map(|record| record.revision).max();
-        let whole = self.lists_whole && after == 0;
+        let whole = self.sends_full_listing && after_revision == 0;
         Page { head: head.unwrap_or(0), records, whole, ..Page::default() }
     }
 
     fn answer_watch(&mut self, name: &str) {
         let now = self.now;
-        let reached = !self.unreached.contains(name);
+        let is_reached = !self.unreached.contains(name);
         let Some(watch) = &self.node(name).watch else {
             return;
         };
         if watch.lost {
-            if now >= watch.failed {
+            if now >= watch.fails_at {
                 self.node(name).watch = None;
-                self.push(name, Event::WatchFailed);
+                self.schedule(name, Event::WatchFailed);
             }
             return;
         }
-        let (after, due) = (watch.after, now >= watch.until);
-        let page = self.page(if reached { after } else { u64::MAX });
-        if due || !page.records.is_empty() {
+        let (after, wait_is_over) = (watch.after, now >= watch.answer_by);
+        let page = self.page(if is_reached { after } else { u64::MAX });
+        if wait_is_over || !page.records.is_empty() {
             self.node(name).watch = None;
-            self.push(name, Event::Page(page));
+            self.schedule(name, Event::Page(page));
         }
     }
 
-    fn push(&mut self, to: &str, event: Event) {
+    fn schedule(&mut self, to: &str, event: Event) {
         self.sequence += 1;
-        let at = (self.now + HOP, self.sequence);
-        self.queue.insert(at, (to.to_owned(), event));
+        let at = (self.now + MESSAGE_DELAY, self.sequence);
+        self.event_queue.insert(at, (to.to_owned(), event));
     }
 
     pub(crate) fn give(&mut self, name: &str, event: Event) {
         let (now, mut out) = (self.now, Vec::new());
         self.node(name).machine.handle(now, event, &mut out);
         for action in out {
-            self.act(name, action);
+            self.carry_out(name, action);
         }
     }
 
-    fn act(&mut self, name: &str, action: Action) {
+    fn carry_out(&mut self, name: &str, action: Action) {
         let now = self.now;
-        let line = session::line(&action);
-        self.log.extend(line.map(|line| format!("{:>6} {name} {line}", now.as_micros() / 1000)));
+        let line = session::action_line(&action);
+        self.action_log
+            .extend(line.map(|line| format!("{:>6} {name} {line}", now.as_micros() / 1000)));
         match action {
             Action::Send { to, frame } => self.send(name, &to, frame),
             Action::Watch(read) => {
-                let up = self.platform_up && !self.refused.contains(name);
+                let platform_answers = self.platform_up && !self.refused.contains(name);
                 let lost = self.answers_lost;
                 let node = self.node(name);
                 node.reads += 1;
-                if up {
-                    let until = now + read.wait;
-                    let failed = until + read.patience;
-                    node.watch = Some(Watch { after: read.after, until, failed, lost });
+                if platform_answers {
+                    let answer_by = now + read.wait;
+                    let fails_at = answer_by + read.patience;
+                    node.watch = Some(Watch { after: read.after, answer_by, fails_at, lost });
                     self.answer_watch(name);
                 } else {
-                    self.push(name, Event::WatchFailed);
+                    self.schedule(name, Event::WatchFailed);
                 }
             }
             Action::View(view) => {
                 self.node(name).views.push((now, view));
                 if self.listing == Listing::Published {
-                    self.sum_shares();
+                    self.update_max_total_shares();
                 }
             }
             Action::Refused { .. } | Action::Log(_) | Action::Generation(_) | Action::Count(_) => {}
@@ -274,10 +278,10 @@
         let target = self.names().into_iter().find(|name| publish::address(name) == to);
         let Some(target) = target else { return };
         if self.nodes[from].zone != self.nodes[&target].zone {
-            self.crossed += frame.encoded_len();
+            self.cross_zone_bytes += frame.encoded_len();
         }
         if self.island.contains(from) == self.island.contains(&target) {
-            self.push(&target, Event::Frame(frame));
+            self.schedule(&target, Event::Frame(frame));
         }
     }
 
@@ -285,43 +289,47 @@
         let Some(node) = self.nodes.get_mut(name) else {
             return;
         };
-        if node.frozen {
+        if node.paused {
             node.inbox.push(event);
             return;
         }
         self.give(name, event);
     }
 
-    fn sum_shares(&mut self) {
-        let mut sums: BTreeMap<Arc<str>, u32> = BTreeMap::new();
+    fn update_max_total_shares(&mut self) {
+        let mut totals: BTreeMap<Arc<str>, u32> = BTreeMap::new();
         for node in self.nodes.values() {
             let services = node.machine.view().services.values();
             for server in services.flat_map(|service| &service.servers) {
-                *sums.entry(Arc::clone(&server.name)).or_default() += server.share;
+                *totals.entry(Arc::clone(&server.name)).or_default() += server.share;
             }
         }
-        for (name, sum) in sums {
-            let most = self.most_shares.entry(name).or_default();
-            *most = sum.max(*most);
+        for (name, total) in totals {
+            let most = self.max_total_shares.entry(name).or_default();
+            *most = total.max(*most);
         }
     }
 
-    fn next_time(&self) -> Instant {
-        let queued = self.queue.keys().next().map(|&(at, _)| at);
-        let awake = || self.nodes.values().filter(|node| !node.frozen);
-        let wakes = awake().map(|node| node.machine.next_wake());
-        let watches = awake().filter_map(|node| Some(node.watch.as_ref()?.due()));
+    fn next_event_time(&self) -> Instant {
+        let queued = self.event_queue.keys().next().map(|&(at, _)| at);
+        let running = || self.nodes.values().filter(|node| !node.paused);
+        let wakes = running().map(|node| node.machine.next_wake());
+        let watches = running().filter_map(|node| Some(node.watch.as_ref()?.due_at()));
         let next = wakes.chain(watches).chain(queued).min();
-        next.unwrap_or(self.now + HOP).max(self.now)
+        next.unwrap_or(self.now + MESSAGE_DELAY).max(self.now)
     }
 
     fn step(&mut self) {
-        let next = self.next_time();
-        self.idle_steps = if next > self.now { 0 } else { self.idle_steps + 1 };
-        assert!(self.idle_steps < 1000, "machines wake without end at {next:?}");
-        self.now = next;
+        let next_time = self.next_event_time();
+        self.steps_without_progress =
+            if next_time > self.now { 0 } else { self.steps_without_progress + 1 };
+        assert!(
+            self.steps_without_progress < 1000,
+            "machines request ticks endlessly at {next_time:?}"
+        );
+        self.now = next_time;
         let now = self.now;
-        while let Some(entry) = self.queue.first_entry() {
+        while let Some(entry) = self.event_queue.first_entry() {
             if entry.key().0 > now {
                 break;
             }
@@ -329,11 +337,11 @@
             self.deliver(&name, event);
         }
         for name in self.names() {
-            if self.node(&name).frozen {
+            if self.node(&name).paused {
                 continue;
             }
             let watch = self.node(&name).watch.as_ref();
-            if watch.is_some_and(|watch| watch.due() <= now) && self.platform_up {
+            if watch.is_some_and(|watch| watch.due_at() <= now) && self.platform_up {
                 self.answer_watch(&name);
             }
             if self.node(&name).machine.next_wake() <= now {
@@ -342,20 +350,28 @@
         }
     }
 
-    /// Lets virtual time pass.
+    /// Advances the virtual time and processes all events on the way.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        while self.next_time() <= end {
+        while self.next_event_time() <= end {
             self.step();
         }
         self.now = end;
     }
 
-    /// Lets virtual time pass until the condition holds; fails after a bound.
-    pub(crate) fn until(&mut self, what: &str, bound: Duration, holds: impl Fn(&Self) -> bool) {
+    /// Advances the virtual time until the condition is met; panics after `bound`.
+    pub(crate) fn until(
+        &mut self,
+        condition: &str,
+        bound: Duration,
+        is_met: impl Fn(&Self) -> bool,
+    ) {
         let start = self.now;
-        while !holds(self) {
-            assert!(self.now.since(start) < bound, "not within {bound:?}: {what}");
+        while !is_met(self) {
+            assert!(
+                self.now.since(start) < bound,
+                "condition not met within {bound:?}: {condition}"
+            );
             self.step();
         }
     }
--- a/crates/core/tests/fleet/listing.rs
+++ b/crates/core/tests/fleet/listing.rs
@@ -1,4 +1,5 @@
-//! Listings of all that is published, and withdrawals that are doubted.
+//! Full listings of the publication, withdrawals that are held back, and fleets whose instances are
+//! not published.
 
 use std::time::Duration;
 
@@ -14,11 +15,12 @@
 
 use crate::publish;
 
-/// Servers of the service.
-const SERVERS: u64 = 20;
+/// Number of servers of the service.
+const SERVER_COUNT: u64 = 20;
 
-/// One instance that counts its fleet by itself.
-pub(crate) struct Lone {
+/// A single control machine that is not told the list of instances and counts those that it
+/// receives frames from.
+pub(crate) struct ObservingInstance {
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
     log: Vec<Action>,
@@ -28,10 +30,10 @@
     publish::server(&format!("docks-{number}"), "docks", 1, State::Live)
 }
 
-/// Routes of one version that lead to one service.
+/// Routes of one version with one service.
 fn routes(version: u64) -> Body {
     let Body::Entry(entry) = publish::entry("docks", 10) else {
-        unreachable!("an entry");
+        unreachable!("the fixture is an entry");
     };
     Body::Routing(Routing {
         version,
@@ -46,28 +48,29 @@
     })
 }
 
-/// Routes and all servers, one revision each.
-fn all() -> Vec<Record> {
-    let servers = (1..=SERVERS).map(|number| publish::record(number + 1, server(number)));
+/// Routes and all servers, with one revision for each record.
+fn all_records() -> Vec<Record> {
+    let servers = (1..=SERVER_COUNT).map(|number| publish::record(number + 1, server(number)));
     [publish::record(1, routes(1))].into_iter().chain(servers).collect()
 }
 
-fn withdrawn(number: u64, revision: u64) -> Record {
+fn server_tombstone(number: u64, revision: u64) -> Record {
     publish::record(revision, publish::tombstone(Kind::Server, &format!("docks-{number}")))
 }
 
-impl Lone {
+impl ObservingInstance {
     fn new() -> Self {
-        Self::within("trindade", false)
+        Self::in_zone("trindade", false)
     }
 
-    /// One that stands in `zone`; with `near`, peers collect the parts of sweeps.
-    pub(crate) fn within(zone: &str, near: bool) -> Self {
-        Self::named("entry-1", zone, near)
+    /// An instance in a zone; with `near`, peers near the servers aggregate the parts of sweeps.
+    pub(crate) fn in_zone(zone: &str, near: bool) -> Self {
+        Self::with_name("entry-1", zone, near)
     }
 
-    /// The same under another name.
-    pub(crate) fn named(name: &str, zone: &str, near: bool) -> Self {
+    /// An instance with a name, in a zone; with `near`, peers near the servers aggregate the parts
+    /// of sweeps.
+    pub(crate) fn with_name(name: &str, zone: &str, near: bool) -> Self {
         let now = Instant::from_millis(0);
         let settings = Settings::builder(name, &publish::address(name))
             .fleet("porto")
@@ -78,60 +81,60 @@
             .seeds(["127.0.0.1:10007"])
             .timing(Timing::default())
             .build();
-        let mut lone = Self { machine: Machine::new(settings, now), now, log: Vec::new() };
-        lone.give(Event::Tick);
-        lone
+        let mut instance = Self { machine: Machine::new(settings, now), now, log: Vec::new() };
+        instance.handle(Event::Tick);
+        instance
     }
 
-    /// One that has read all that is published.
-    fn informed() -> Self {
-        let mut lone = Self::new();
-        lone.list(all());
-        lone
+    /// An instance that has read all published records.
+    fn with_all_records() -> Self {
+        let mut instance = Self::new();
+        instance.receive_full_listing(all_records());
+        instance
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.machine.handle(self.now, event, &mut self.log);
     }
 
-    /// The platform lists these records as all there are.
-    pub(crate) fn list(&mut self, records: Vec<Record>) {
+    /// The platform sends these records as a full listing.
+    pub(crate) fn receive_full_listing(&mut self, records: Vec<Record>) {
         let head = records.iter().map(|record| record.revision).max().unwrap_or(0);
-        self.give(Event::Page(Page { head, records, whole: true, ..Page::default() }));
+        self.handle(Event::Page(Page { head, records, whole: true, ..Page::default() }));
     }
 
-    /// The platform answers a watch.
-    fn news(&mut self, records: Vec<Record>) {
+    /// The platform answers a watch with these records, which are all changes up to now.
+    fn receive_changes(&mut self, records: Vec<Record>) {
         let head = records.iter().map(|record| record.revision).max().unwrap_or(0);
-        self.give(Event::Page(Page { head, records, current: true, ..Page::default() }));
+        self.handle(Event::Page(Page { head, records, current: true, ..Page::default() }));
     }
 
-    pub(crate) fn pass(&mut self, millis: u64) {
+    pub(crate) fn advance(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
         while self.machine.next_wake() <= end {
             self.now = self.now.max(self.machine.next_wake());
-            self.give(Event::Tick);
+            self.handle(Event::Tick);
         }
         self.now = end;
     }
 
-    fn servers(&self) -> usize {
+    fn server_count(&self) -> usize {
         self.machine.view().service("docks").map_or(0, |service| service.servers.len())
     }
 
-    /// Connections that it may hold to the first server.
-    fn share(&self) -> u32 {
+    /// This instance's share of the first server's connections.
+    fn first_server_share(&self) -> u32 {
         let view = self.machine.view();
         view.service("docks").map_or(0, |service| service.servers[0].share)
     }
 
-    /// Another instance makes itself known.
-    fn hear(&mut self, name: &str) {
-        self.hear_from(name, "trindade");
+    /// A frame of another instance arrives, from the same zone.
+    fn receive_frame(&mut self, name: &str) {
+        self.receive_frame_from(name, "trindade");
     }
 
-    pub(crate) fn hear_from(&mut self, name: &str, zone: &str) {
-        self.give(Event::Frame(Box::new(Frame {
+    pub(crate) fn receive_frame_from(&mut self, name: &str, zone: &str) {
+        self.handle(Event::Frame(Box::new(Frame {
             protocol: PROTOCOL,
             fleet: "porto".to_owned(),
             from: name.to_owned(),
@@ -142,114 +145,122 @@
         })));
     }
 
-    /// The last revision asked for.
-    fn asked_after(&self) -> u64 {
-        let mut asked = self.log.iter().rev().filter_map(|action| match action {
+    /// Revision given in the last read of the platform.
+    fn last_requested_revision(&self) -> u64 {
+        let mut requested = self.log.iter().rev().filter_map(|action| match action {
             Action::Watch(read) => Some(read.after),
             _ => None,
         });
-        asked.next().expect("a read")
+        requested.next().expect("a read was started")
     }
 }
 
-/// An instance starts, and so do all others. What the platform lists is all there is to know, so it
-/// serves at once and does not wait for peers that wait for it.
+/// All instances start at once. The platform's full listing contains every record, so an instance
+/// becomes ready with it instead of waiting for peers that wait as well.
 #[test]
-fn whole_listing_makes_ready() {
-    let mut lone = Lone::new();
-    assert!(!lone.machine.view().ready);
-    lone.list(all());
-    assert!(lone.machine.view().ready);
-    assert_eq!(lone.servers(), 20);
+fn full_listing_makes_instance_ready_without_peers() {
+    let mut instance = ObservingInstance::new();
+    assert!(!instance.machine.view().ready);
+    instance.receive_full_listing(all_records());
+    assert!(instance.machine.view().ready);
+    assert_eq!(instance.server_count(), 20);
 }
 
-/// The platform has forgotten its history while an instance did not listen. What left meanwhile
-/// shows only by not being listed; work sent there would be lost.
+/// The platform has dropped its change history while an instance was not reading. A server that
+/// left meanwhile is detected only because the full listing does not contain it; work sent to it
+/// would be lost.
 #[test]
-fn unlisted_server_is_gone() {
-    let mut lone = Lone::informed();
-    lone.give(Event::WatchExpired);
-    assert_eq!(lone.asked_after(), 0, "all is read again");
-    let mut records = all();
+fn server_missing_from_full_listing_is_removed() {
+    let mut instance = ObservingInstance::with_all_records();
+    instance.handle(Event::WatchExpired);
+    assert_eq!(instance.last_requested_revision(), 0, "all records are read again");
+    let mut records = all_records();
     records.remove(5);
     records.push(publish::record(90, routes(2)));
-    lone.list(records);
-    assert_eq!(lone.servers(), 19);
+    instance.receive_full_listing(records);
+    assert_eq!(instance.server_count(), 19);
 }
 
-/// What is withdrawn, in which situation, and how many servers are left at once and later.
+/// Withdrawals, the situation in which they arrive, and the number of servers left at once and
+/// later.
 struct Case {
     name: &'static str,
-    /// The platform did not answer before.
-    outage: bool,
+    /// Whether the platform failed to answer before the withdrawals.
+    after_outage: bool,
     withdrawn: u64,
-    /// Servers that register again half a second later.
-    back: u64,
+    /// Number of servers that register again half a second later.
+    returning: u64,
     at_once: usize,
     later: usize,
 }
 
-/// The platform was away and withdraws servers that could not reach it, or withdraws many at one
-/// stroke. All sweeps would fail although the servers are well. They stay in use for the moments in
-/// which they register again; one that does not is gone. A single one in quiet times is gone at once.
+/// After an outage, the platform withdraws servers that could not reach it; or it withdraws many
+/// servers at once. If these withdrawals took effect, all sweeps would fail although the servers
+/// are healthy. The servers stay in use for the time that registering again takes, and those that
+/// do not return are then removed. A single withdrawal in normal operation takes effect at once.
 #[test]
-fn doubted_withdrawals() {
-    let case = |name, outage, withdrawn, back, at_once, later| Case {
+fn doubtful_withdrawals_are_held_back() {
+    let case = |name, after_outage, withdrawn, returning, at_once, later| Case {
         name,
-        outage,
+        after_outage,
         withdrawn,
-        back,
+        returning,
         at_once,
         later,
     };
     let cases = [
-        case("a single one", false, 1, 0, 19, 19),
-        case("some", false, 3, 0, 17, 17),
-        case("many that come back", false, 18, 18, 20, 20),
-        case("many of which some come back", false, 18, 10, 20, 12),
-        case("a single one after an outage", true, 1, 0, 20, 19),
-        case("all after an outage", true, 20, 20, 20, 20),
+        case("one server", false, 1, 0, 19, 19),
+        case("a few servers", false, 3, 0, 17, 17),
+        case("many servers that return", false, 18, 18, 20, 20),
+        case("many servers of which some return", false, 18, 10, 20, 12),
+        case("one server after an outage", true, 1, 0, 20, 19),
+        case("all servers after an outage", true, 20, 20, 20, 20),
     ];
     for case in cases {
-        let mut lone = Lone::informed();
-        if case.outage {
-            lone.pass(1000);
-            lone.give(Event::WatchFailed);
-            lone.pass(1000);
+        let mut instance = ObservingInstance::with_all_records();
+        if case.after_outage {
+            instance.advance(1000);
+            instance.handle(Event::WatchFailed);
+            instance.advance(1000);
         }
-        lone.news((1..=case.withdrawn).map(|number| withdrawn(number, 100 + number)).collect());
-        assert_eq!(lone.servers(), case.at_once, "{}: at once", case.name);
-        lone.pass(500);
-        if case.back > 0 {
-            let back = (1..=case.back).map(|number| publish::record(200 + number, server(number)));
-            lone.news(back.collect());
+        instance.receive_changes(
+            (1..=case.withdrawn).map(|number| server_tombstone(number, 100 + number)).collect(),
+        );
+        assert_eq!(instance.server_count(), case.at_once, "{}: at once", case.name);
+        instance.advance(500);
+        if case.returning > 0 {
+            let returning =
+                (1..=case.returning).map(|number| publish::record(200 + number, server(number)));
+            instance.receive_changes(returning.collect());
         }
-        lone.pass(2500);
-        assert_eq!(lone.servers(), case.later, "{}: later", case.name);
+        instance.advance(2500);
+        assert_eq!(instance.server_count(), case.later, "{}: later", case.name);
     }
 }
 
-/// Nobody publishes the instances. Each counts those that it has heard of lately and takes its part
-/// of three quarters of a server's connections, and only two at its start: after a loss of all instances the
-/// servers still count the connections of the dead, and reset what goes beyond their limit.
+/// The platform does not publish instances. Each instance counts those that it has recently
+/// received frames from and takes its share of three quarters of a server's connections. At its
+/// start it takes only two: after a crash of all instances, the servers still count the connections
+/// of the dead ones and reset those beyond their limit.
 #[test]
-fn observed_shares() {
-    let mut lone = Lone::informed();
-    assert_eq!(lone.share(), 2, "at the start");
+fn observed_instances_divide_the_connections() {
+    let mut instance = ObservingInstance::with_all_records();
+    assert_eq!(instance.first_server_share(), 2, "at the start");
     for number in 2..=4 {
-        lone.hear(&format!("entry-{number}"));
+        instance.receive_frame(&format!("entry-{number}"));
     }
-    lone.pass(3000);
-    assert_eq!(lone.share(), 5, "three quarters of 25 among four");
-    lone.pass(10_000);
-    assert_eq!(lone.share(), 5, "those that fell silent still count");
+    instance.advance(3000);
+    assert_eq!(instance.first_server_share(), 5, "three quarters of 25 among four");
+    instance.advance(10_000);
+    assert_eq!(instance.first_server_share(), 5, "silent instances still count");
 }
 
-/// Where peers collect the parts of sweeps, those near a part's servers make most of its calls. With
-/// equal parts of what the fleet may spend on a service, half of it lay with instances that never
-/// ask: of 224 requests in two seconds of lost answers 65 came late in place of 43.
+/// Where peers aggregate the parts of sweeps, the instances near a part's servers make most of its
+/// calls. With equal shares of what a catalogue entry grants the whole fleet, half of it went to
+/// instances that never call the service: of 224 requests in two seconds of lost answers, 65 were
+/// late instead of 43.
 #[test]
-fn instances_near_the_servers_take_more() {
+fn instances_near_the_servers_get_larger_shares() {
     struct Case {
         zone: &'static str,
         near: bool,
@@ -257,26 +268,27 @@
         sharers: u32,
         share: u32,
     }
-    // The servers stand in campanha, as do two other instances; two more in sao-bento.
-    let swept = &["docks"][..];
+    // The servers are in zone campanha, as are two of the other instances; the other two are in
+    // sao-bento.
+    let sweep_parts = &["docks"][..];
     let case = |zone, near, parts, sharers, share| Case { zone, near, parts, sharers, share };
     let cases = [
-        case("campanha", false, swept, 5, 4),
+        case("campanha", false, sweep_parts, 5, 4),
         case("campanha", true, &[], 5, 4),
-        // Three near ones take four parts each, two far ones one: of 14 parts.
-        case("campanha", true, swept, 4, 5),
-        case("trindade", true, swept, 11, 2),
+        // Three near instances have weight four and two far ones have weight one, in total 14.
+        case("campanha", true, sweep_parts, 4, 5),
+        case("trindade", true, sweep_parts, 11, 2),
     ];
     for case in cases {
-        let mut lone = Lone::within(case.zone, case.near);
-        lone.list(all());
+        let mut instance = ObservingInstance::in_zone(case.zone, case.near);
+        instance.receive_full_listing(all_records());
         for (name, zone) in
             [("2", "campanha"), ("3", "campanha"), ("4", "sao-bento"), ("5", "sao-bento")]
         {
-            lone.hear_from(&format!("entry-{name}"), zone);
+            instance.receive_frame_from(&format!("entry-{name}"), zone);
         }
         let Body::Routing(routing) = routes(2) else {
-            unreachable!("routes");
+            unreachable!("the fixture is routes");
         };
         let parts = case.parts.iter().map(|part| (*part).to_owned()).collect();
         let branch = Branch { service: "docks".to_owned(), weight: 1.0 };
@@ -295,78 +307,82 @@
             ..Route::default()
         };
         let routing = Routing { routes: vec![route], ..routing };
-        lone.news(vec![publish::record(100, Body::Routing(routing))]);
-        lone.pass(6000);
-        let view = lone.machine.view();
+        instance.receive_changes(vec![publish::record(100, Body::Routing(routing))]);
+        instance.advance(6000);
+        let view = instance.machine.view();
         let service = view.service("docks").expect("the service");
-        let taken = (service.sharers, lone.share());
-        assert_eq!(taken, (case.sharers, case.share), "{} {}", case.zone, case.near);
+        let actual = (service.sharers, instance.first_server_share());
+        assert_eq!(actual, (case.sharers, case.share), "{} {}", case.zone, case.near);
     }
 }
 
-/// An instance is told to stop. Its callers come until the balancer has noticed, some seconds later;
-/// they would all be refused if it no longer held itself for one that may work on their requests.
+/// An instance starts its graceful stop, but its callers keep sending requests for some seconds,
+/// until the load balancer notices. All these requests would be refused if the instance no longer
+/// considered itself an owner of the services.
 #[test]
-fn leaving_instance_works_for_its_own_callers() {
-    let mut lone = Lone::informed();
-    lone.give(Event::Drain);
-    lone.pass(3000);
-    let view = lone.machine.view();
+fn leaving_instance_still_owns_services_for_its_callers() {
+    let mut instance = ObservingInstance::with_all_records();
+    instance.handle(Event::Drain);
+    instance.advance(3000);
+    let view = instance.machine.view();
     let service = view.service("docks").expect("the service");
     assert!(service.owner().is_some_and(|owner| owner.local));
 }
 
-/// Settings name other seeds while the instance runs: it asks them.
+/// When the settings name other seeds while the instance runs, it asks them.
 #[test]
-fn other_seeds_are_asked() {
-    let mut lone = Lone::informed();
-    lone.log.clear();
-    lone.give(Event::Seeds(vec!["127.0.0.1:10009".into()]));
-    lone.pass(2000);
-    let asked =
+fn changed_seeds_are_asked() {
+    let mut instance = ObservingInstance::with_all_records();
+    instance.log.clear();
+    instance.handle(Event::Seeds(vec!["127.0.0.1:10009".into()]));
+    instance.advance(2000);
+    let asks_new_seed =
         |action: &Action| matches!(action, Action::Send { to, .. } if **to == *"127.0.0.1:10009");
-    assert!(lone.log.iter().any(asked));
+    assert!(instance.log.iter().any(asks_new_seed));
 }
 
-/// All instances lose their power. Whoever is back first finds no seed that is back, and knew of no
-/// other instance for the second until it asked again: it opened connections to all servers by itself.
-/// Seeds that do not answer are asked sooner, and less and less often.
+/// After a power loss of all instances, the first one that restarts finds no running seed. It then
+/// knew no other instance for a second, until the next digest, and opened connections to all
+/// servers alone. Unanswered seeds are therefore asked again sooner, with a growing interval.
 #[test]
-fn silent_seeds_are_asked_sooner() {
-    let mut lone = Lone::new();
-    lone.give(Event::Seeds(vec!["127.0.0.1:10009".into()]));
-    let mut asked = Vec::new();
+fn unanswered_seeds_are_retried_sooner() {
+    let mut instance = ObservingInstance::new();
+    instance.handle(Event::Seeds(vec!["127.0.0.1:10009".into()]));
+    let mut probes_per_step = Vec::new();
     for _ in 0..40 {
-        lone.log.clear();
-        lone.pass(100);
+        instance.log.clear();
+        instance.advance(100);
         let to_seed = |action: &&Action| {
             matches!(action, Action::Send { to, frame }
                 if **to == *"127.0.0.1:10009" && !frame.probes.is_empty())
         };
-        asked.push(lone.log.iter().filter(to_seed).count());
+        probes_per_step.push(instance.log.iter().filter(to_seed).count());
     }
-    let first: usize = asked[..10].iter().sum();
-    let later: usize = asked[20..].iter().sum();
-    assert!((3..=4).contains(&first), "in the first second: {asked:?}");
-    assert!((2..=3).contains(&later), "in two seconds after two: {asked:?}");
+    let in_first_second: usize = probes_per_step[..10].iter().sum();
+    let in_two_seconds_later: usize = probes_per_step[20..].iter().sum();
+    assert!((3..=4).contains(&in_first_second), "in the first second: {probes_per_step:?}");
+    assert!(
+        (2..=3).contains(&in_two_seconds_later),
+        "in the third and fourth second: {probes_per_step:?}"
+    );
 }
 
-/// Sweeps are handed over to settled instances only: one that has just started may not know the
-/// routes, and one that has died answers nothing.
+/// Sweeps are handed over to settled instances only: one that has just started may lack the routes,
+/// and one that has died answers nothing.
 #[test]
-fn settled_instances_are_neighbours() {
-    let mut lone = Lone::informed();
-    let names = |lone: &Lone| -> Vec<String> {
-        let neighbours = lone.machine.view().neighbours.iter();
+fn only_settled_instances_are_neighbours() {
+    let mut instance = ObservingInstance::with_all_records();
+    let names = |instance: &ObservingInstance| -> Vec<String> {
+        let neighbours = instance.machine.view().neighbours.iter();
         neighbours.map(|neighbour| neighbour.peer.name.to_string()).collect()
     };
-    lone.hear("entry-7");
-    lone.pass(100);
-    lone.hear("entry-2");
-    assert_eq!(names(&lone), ["entry-2", "entry-7"], "older than itself, as far as it knows");
-    lone.pass(5000);
-    assert!(names(&lone).is_empty(), "silent for 5 s");
-    lone.hear("entry-9");
-    lone.pass(500);
-    assert!(names(&lone).is_empty(), "just started");
+    instance.receive_frame("entry-7");
+    instance.advance(100);
+    instance.receive_frame("entry-2");
+    assert_eq!(names(&instance), ["entry-2", "entry-7"], "both count as older than this instance");
+    instance.advance(5000);
+    assert!(names(&instance).is_empty(), "silent for 5 s");
+    instance.receive_frame("entry-9");
+    instance.advance(500);
+    assert!(names(&instance).is_empty(), "just started");
 }
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the control machine: alone, and many of them in concert.
+//! Tests of the control machine: single machines, and simulated fleets of many.
 
 mod concert;
 mod disorder;
--- a/crates/core/tests/fleet/many.rs
+++ b/crates/core/tests/fleet/many.rs
@@ -1,4 +1,4 @@
-//! Many instances before servers that take few connections.
+//! Large fleets in front of servers that accept few connections.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use ladder_core::view::View;
 
 use crate::harness::{Fleet, Node};
-use crate::listing::Lone;
+use crate::listing::ObservingInstance;
 use crate::publish;
 
 const ZONES: [&str; 5] = ["campanha", "sao-bento", "trindade", "boavista", "matosinhos"];
-/// Services of the sweep.
-const SERVICES: usize = 30;
-/// Connections that a server takes, as published.
-const LIMIT: usize = 25;
+/// Number of services of the sweep.
+const SERVICE_COUNT: usize = 30;
+/// Published connection limit of a server.
+const CONNECTION_LIMIT: usize = 25;
 
 fn name(number: usize) -> String {
     format!("entry-{number}")
@@ -32,22 +32,23 @@
 }
 
 fn services() -> impl Iterator<Item = String> {
-    (0..SERVICES).map(|at| format!("gate-{at}"))
+    (0..SERVICE_COUNT).map(|at| format!("gate-{at}"))
 }
 
-/// Which services the routes name.
+/// Which services the published routes name.
 #[derive(Clone, Copy, Debug)]
-enum Routed {
-    /// All of them are parts of one sweep.
-    Swept,
-    /// None: an index of other shards is to come, whose servers run already.
-    ToCome,
-    /// Each has a route of its own.
-    Singly,
+enum RoutedServices {
+    /// One sweep has all services as its parts.
+    OneSweep,
+    /// The routes name no service: the servers of a new index already run, but its routes are not
+    /// published yet.
+    NotYetRouted,
+    /// Each service has a route of its own.
+    OneRouteEach,
 }
 
-/// Routes, and three servers of each service in zones that follow each other.
-fn published(routed: Routed) -> Vec<Body> {
+/// Bodies of the routes and of three servers for each service, in successive zones.
+fn published_bodies(routed_services: RoutedServices) -> Vec<Body> {
     let sweep = Route {
         name: "sweep".to_owned(),
         host: "porto.example".to_owned(),
@@ -74,10 +75,12 @@
     let routing = Routing {
         version: 1,
         entries: entries.collect(),
-        routes: match routed {
-            Routed::Swept => vec![sweep],
-            Routed::ToCome => Vec::new(),
-            Routed::Singly => services().map(|service| single(&sweep, &service)).collect(),
+        routes: match routed_services {
+            RoutedServices::OneSweep => vec![sweep],
+            RoutedServices::NotYetRouted => Vec::new(),
+            RoutedServices::OneRouteEach => {
+                services().map(|service| single_service_route(&sweep, &service)).collect()
+            }
         },
         bounds: Some(bounds),
     };
@@ -87,7 +90,7 @@
             match publish::server(&name, &service, 1, State::Live) {
                 Body::Server(server) => {
                     let zone = zone(at + replica).to_owned();
-                    Body::Server(Server { zone, connections: LIMIT as u32, ..server })
+                    Body::Server(Server { zone, connections: CONNECTION_LIMIT as u32, ..server })
                 }
                 _ => unreachable!("a server"),
             }
@@ -96,8 +99,8 @@
     [Body::Routing(routing)].into_iter().chain(servers).collect()
 }
 
-/// A route to one service.
-fn single(sweep: &Route, service: &str) -> Route {
+/// A route to a single service.
+fn single_service_route(sweep: &Route, service: &str) -> Route {
     let branch = Branch { service: service.to_owned(), weight: 1.0 };
     Route {
         name: service.to_owned(),
@@ -110,46 +113,60 @@
     }
 }
 
-/// The view of one of `instances` that know each other.
-fn view(own: usize, instances: usize, routed: Routed) -> Arc<View> {
-    let mut lone = Lone::named(&name(own), zone(own), true);
-    lone.list(publish::records(1, published(routed)));
+/// View of one of `instances` instances that know each other.
+fn view_of(own_number: usize, instances: usize, routed_services: RoutedServices) -> Arc<View> {
+    let mut instance = ObservingInstance::with_name(&name(own_number), zone(own_number), true);
+    instance.receive_full_listing(publish::records(1, published_bodies(routed_services)));
     for _ in 0..12 {
-        for other in (0..instances).filter(|other| *other != own) {
-            lone.hear_from(&name(other), zone(other));
+        for other_number in (0..instances).filter(|other_number| *other_number != own_number) {
+            instance.receive_frame_from(&name(other_number), zone(other_number));
         }
-        lone.pass(500);
+        instance.advance(500);
     }
-    Arc::clone(lone.machine.view())
+    Arc::clone(instance.machine.view())
 }
 
-/// Connections that an instance without work holds to a server, at most.
-fn idle_connections(own: usize, instances: usize, routed: Routed) -> usize {
-    let settings = leaf::Settings::builder(&name(own), 1).by_need(true).zone(zone(own)).build();
+/// Largest number of connections that an instance without work keeps to any server.
+fn max_idle_connections(
+    own_number: usize,
+    instances: usize,
+    routed_services: RoutedServices,
+) -> usize {
+    let settings =
+        leaf::Settings::builder(&name(own_number), 1).by_need(true).zone(zone(own_number)).build();
     let mut machine = leaf::Machine::new(settings);
     let mut now = Instant::from_millis(10_000);
     let mut out = Vec::new();
-    machine.handle(now, leaf::Event::View(view(own, instances, routed)), &mut out);
+    machine.handle(
+        now,
+        leaf::Event::View(view_of(own_number, instances, routed_services)),
+        &mut out,
+    );
     for _ in 0..50 {
         now = now + Duration::from_millis(200);
         machine.handle(now, leaf::Event::Tick, &mut out);
     }
-    let mut open: BTreeMap<Arc<str>, usize> = BTreeMap::new();
+    let mut open_connections: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     for action in out {
         if let leaf::Action::Open { server, .. } = action {
-            *open.entry(server).or_default() += 1;
+            *open_connections.entry(server).or_default() += 1;
         }
     }
-    open.into_values().max().unwrap_or(0)
+    open_connections.into_values().max().unwrap_or(0)
 }
 
-/// Who asks for each part of a sweep that comes to this instance.
-fn askers(own: usize, instances: usize) -> BTreeMap<String, Arc<str>> {
-    let settings = gather::Settings::builder(&name(own), 1).near(zone(own)).build();
+/// For each part of a sweep that arrives at this instance, the name of the instance that aggregates
+/// it.
+fn aggregator_by_part(own_number: usize, instances: usize) -> BTreeMap<String, Arc<str>> {
+    let settings = gather::Settings::builder(&name(own_number), 1).near(zone(own_number)).build();
     let mut machine = gather::Machine::new(settings);
     let now = Instant::from_millis(10_000);
     let mut out = Vec::new();
-    machine.handle(now, gather::Event::View(view(own, instances, Routed::Swept)), &mut out);
+    machine.handle(
+        now,
+        gather::Event::View(view_of(own_number, instances, RoutedServices::OneSweep)),
+        &mut out,
+    );
     let message = Message {
         method: "GET".to_owned(),
         host: "porto.example".to_owned(),
@@ -160,83 +177,92 @@
     let request = Request { key: "k".to_owned(), deadline_ms: 600, message, ..Request::default() };
     let caller = gather::event::Caller(1);
     machine.handle(now, gather::Event::Call { caller, request }, &mut out);
-    let works = out.into_iter().filter_map(|action| match action {
+    let sent_work = out.into_iter().filter_map(|action| match action {
         gather::Action::Send { to, work } => Some((to, work)),
         _ => None,
     });
-    let parts = works.flat_map(|(to, work)| {
-        let parts = work.portions.into_iter();
-        parts.map(move |portion| (portion.service, Arc::clone(&to.name)))
+    let parts_with_peer = sent_work.flat_map(|(to, work)| {
+        let portions = work.portions.into_iter();
+        portions.map(move |portion| (portion.service, Arc::clone(&to.name)))
     });
-    parts.collect()
+    parts_with_peer.collect()
 }
 
-/// On a quiet day of 83 instances half of the sweeps were late or lacked parts. A server took 64
-/// connections, and every instance kept one to each server whether it had work for it or not: the
-/// servers reset 122,000 connections in 34 s, and whoever had work waited for one. Proved by a run in
-/// which an instance without work holds none and one instance asks for each group of parts: 122 resets,
-/// 0.88 of the worth in place of 0.68. Asked for by one alone, with connections kept, the resets stayed.
+/// In a fault-free run with 83 instances, half of the sweeps were late or lacked parts. Each server
+/// accepted 64 connections, and every instance kept one to each server whether it had work for it
+/// or not. The servers reset 122,000 connections in 34 s, and instances with work had to wait for
+/// one.
+///
+/// Both changes are needed: an instance without work keeps no connection, and one instance
+/// aggregates each group of parts. With both there were 122 resets, and the sweeps reached 0.88 of
+/// their worth instead of 0.68. With one aggregator but with connections kept, the resets remained.
 #[test]
-fn instances_without_work_leave_the_connections_to_others() {
+fn idle_instances_together_stay_within_the_connection_limit() {
     struct Case {
         instances: usize,
-        /// Connections that each may keep, so that all together stay within the limit.
-        most: usize,
+        /// Number of connections that each instance may keep so that all together stay within the
+        /// limit.
+        max_idle: usize,
     }
-    for Case { instances, most } in [
-        Case { instances: 7, most: 3 },
-        Case { instances: 26, most: 0 },
-        Case { instances: 60, most: 0 },
+    for Case { instances, max_idle } in [
+        Case { instances: 7, max_idle: 3 },
+        Case { instances: 26, max_idle: 0 },
+        Case { instances: 60, max_idle: 0 },
     ] {
         for own in [0, 1, 2] {
-            let idle = idle_connections(own, instances, Routed::Swept);
-            assert!(idle <= most, "{instances} instances: number {own} keeps {idle}");
-            assert!(idle * instances <= LIMIT, "{instances} instances keep {idle} each");
+            let kept = max_idle_connections(own, instances, RoutedServices::OneSweep);
+            assert!(
+                kept <= max_idle,
+                "{instances} instances: number {own} keeps {kept} connections"
+            );
+            assert!(kept * instances <= CONNECTION_LIMIT, "{instances} instances keep {kept} each");
         }
     }
 }
 
-/// A second after the servers of an index to come had started, which no route named yet, each of 195
-/// instances kept a connection to each of 258 of them, twice as many as they take; what was reset was
-/// opened again, 585,000 times in half a minute. The same holds for services of single requests where
-/// there are more instances than connections.
+/// One second after the servers of a new index had started, before any route named it, each of 195
+/// instances kept a connection to each of 258 servers, twice as many as a server accepts.
+/// Connections that were reset were opened again, 585,000 times in half a minute. The same happens
+/// to services of single requests if there are more instances than connections.
 #[test]
-fn no_connections_are_kept_where_there_are_fewer_than_instances() {
-    for (routed, instances, most) in [
-        (Routed::ToCome, 7, 3),
-        (Routed::ToCome, 60, 0),
-        (Routed::Singly, 7, 3),
-        (Routed::Singly, 18, 1),
-        (Routed::Singly, 19, 0),
-        (Routed::Singly, 60, 0),
+fn idle_connections_end_when_instances_outnumber_connections() {
+    for (routed_services, instances, max_idle) in [
+        (RoutedServices::NotYetRouted, 7, 3),
+        (RoutedServices::NotYetRouted, 60, 0),
+        (RoutedServices::OneRouteEach, 7, 3),
+        (RoutedServices::OneRouteEach, 18, 1),
+        (RoutedServices::OneRouteEach, 19, 0),
+        (RoutedServices::OneRouteEach, 60, 0),
     ] {
-        let idle = idle_connections(1, instances, routed);
-        assert!(idle <= most, "{routed:?}, {instances} instances: {idle}");
+        let kept = max_idle_connections(1, instances, routed_services);
+        assert!(kept <= max_idle, "{routed_services:?}, {instances} instances: {kept}");
     }
 }
 
-/// Whoever is to ask for all the parts of an index to come has its share as soon as the servers are
-/// there. With a share for each instance until a route named them it had one connection to a server for
-/// the first two seconds, and half of the slots stood idle.
+/// The instance that will aggregate all parts of a new index must have its connection share as soon
+/// as the servers run. When every instance had a share until a route named the servers, the
+/// aggregator had one connection to each server for the first two seconds, and half of the slots
+/// were idle.
 #[test]
-fn shares_of_an_index_to_come_are_there_before_it() {
-    let share = |routed| {
-        let view = view(1, 60, routed);
+fn shares_of_an_index_exist_before_routes_name_it() {
+    let share = |routed_services| {
+        let view = view_of(1, 60, routed_services);
         let servers = view.services.values().flat_map(|service| &service.servers);
         servers.map(|server| server.share).min()
     };
-    assert_eq!(share(Routed::ToCome), share(Routed::Swept));
+    assert_eq!(share(RoutedServices::NotYetRouted), share(RoutedServices::OneSweep));
 }
 
-/// Work for others goes by what instances say of their processors. Those that have met only by hearsay
-/// must know it too: else some hold the weak ones for strong, and name other askers than the rest.
+/// Aggregation is assigned by the processor sizes that instances report. Instances that know each
+/// other only through gossip need these sizes too; otherwise some take weak instances for strong
+/// ones and assign other aggregators than the rest.
 #[test]
-fn processors_are_known_everywhere() {
+fn processor_sizes_are_known_to_all_instances() {
     let millicores = |at: usize| if at.is_multiple_of(4) { 500 } else { 120 };
     let mut fleet = Fleet::new();
     fleet.listing = Listing::Observed;
     fleet.seeds = vec![publish::address(&name(0))];
-    fleet.publish([publish::record(1, published(Routed::Swept).remove(0))]);
+    fleet.publish([publish::record(1, published_bodies(RoutedServices::OneSweep).remove(0))]);
     for at in 0..24 {
         fleet.millicores = millicores(at);
         fleet.start(&name(at), zone(at));
@@ -253,19 +279,25 @@
     }
 }
 
-/// The same day: each part is asked for by the same instance, whoever the sweep comes to, so that
-/// together they hold a few connections to a server. An instance counts itself and all others alike.
+/// With 60 instances and few connections per server, each part has the same aggregator whichever
+/// instance the sweep arrives at, so that all instances together open few connections to a server.
+/// An instance must rate itself by the same rule as the others.
 #[test]
-fn one_instance_asks_where_connections_are_few() {
-    let first = askers(0, 60);
-    assert_eq!(first.len(), SERVICES);
-    for own in [1, 2, 3, 17] {
-        let other = askers(own, 60);
-        let differ = first.iter().filter(|(part, asker)| other.get(*part) != Some(*asker));
-        let differ: Vec<_> = differ.map(|(part, _)| part).collect();
-        assert!(differ.is_empty(), "instance {own} has others ask for {differ:?}");
+fn each_part_has_one_aggregator_when_connections_are_few() {
+    let aggregators = aggregator_by_part(0, 60);
+    assert_eq!(aggregators.len(), SERVICE_COUNT);
+    for number in [1, 2, 3, 17] {
+        let other = aggregator_by_part(number, 60);
+        let differing =
+            aggregators.iter().filter(|(part, aggregator)| other.get(*part) != Some(*aggregator));
+        let differing: Vec<_> = differing.map(|(part, _)| part).collect();
+        assert!(differing.is_empty(), "instance {number} has other aggregators for {differing:?}");
     }
-    let few = askers(0, 7);
-    let own = few.values().filter(|asker| ***asker == *name(0)).count();
-    assert!(own > SERVICES / 3, "with connections for all, it asks for what stands here: {own}");
+    let with_enough_connections = aggregator_by_part(0, 7);
+    let own_parts =
+        with_enough_connections.values().filter(|aggregator| ***aggregator == *name(0)).count();
+    assert!(
+        own_parts > SERVICE_COUNT / 3,
+        "with connections for all, it aggregates the parts with servers in its zone: {own_parts}"
+    );
 }
--- a/crates/core/tests/fleet/publish.rs
+++ b/crates/core/tests/fleet/publish.rs
@@ -1,4 +1,4 @@
-//! Published records for tests.
+//! Builders of published records and peer frames for tests.
 
 use ladder_core::control::Machine;
 use ladder_core::schema::bounds::PROTOCOL;
@@ -64,16 +64,16 @@
 /// Peer address of an instance whose name ends in a number.
 pub(crate) fn address(name: &str) -> String {
     let digits: String = name.chars().filter(char::is_ascii_digit).collect();
-    let number: u16 = digits.parse().expect("names end in a number");
+    let number: u16 = digits.parse().expect("an instance's name ends in a number");
     format!("127.0.0.1:{}", 10_000 + number)
 }
 
-/// Bodies with revisions from `first` on.
+/// Records of these bodies, with consecutive revisions from `first`.
 pub(crate) fn records(first: u64, bodies: impl IntoIterator<Item = Body>) -> Vec<Record> {
     bodies.into_iter().zip(first..).map(|(body, revision)| record(revision, body)).collect()
 }
 
-/// A frame that says no more than who sent it.
+/// A frame that contains nothing but its sender.
 pub(crate) fn frame(name: &str, zone: &str, generation: u64) -> Frame {
     Frame {
         protocol: PROTOCOL,
@@ -86,7 +86,8 @@
     }
 }
 
-/// That an instance had this liveness, by generation and refutation.
+/// A gossip update: the liveness of an instance at a version, which is its generation and
+/// refutation.
 pub(crate) fn rumour(name: &str, zone: &str, version: (u64, u32), liveness: Liveness) -> Rumour {
     Rumour {
         name: name.to_owned(),
@@ -99,7 +100,7 @@
     }
 }
 
-/// Keys and revisions of what a machine knows.
+/// Keys and revisions of the records of a machine.
 pub(crate) fn known(machine: &Machine) -> Vec<(String, u64)> {
     let records = machine.records();
     records.map(|(key, record)| (key.to_string(), record.revision)).collect()
--- a/crates/core/tests/fleet/repair.rs
+++ b/crates/core/tests/fleet/repair.rs
@@ -1,4 +1,4 @@
-//! Repair of a large publication.
+//! Repair of differences in a large publication.
 
 use ladder_core::control::{Action, Event, Machine, Settings};
 use ladder_core::schema::publication::{Kind, Page, Record};
@@ -19,38 +19,40 @@
     machine
 }
 
-/// Each of two instances has missed a change of a publication of 4,000 records. A digest shows the
-/// buckets, but a bucket of such a size is large, and control may take little of the network: the
-/// hashes of its parts go first, and far less than the bucket follows. Both end up equal.
+/// Each of two instances has missed one change of a publication of 4,000 records. A digest shows
+/// which buckets differ, but a bucket of such a publication is large, and control traffic must stay
+/// small. The hashes of the bucket's parts are therefore compared first, and far fewer records than
+/// a bucket holds are sent. Both instances must end up with the same records.
 #[test]
-fn few_records_are_sent_for_few_that_differ() {
+fn small_difference_transfers_few_records() {
     let entry = |at: u64| publish::record(at, publish::entry(&format!("gate-{at}"), 10));
-    let all: Vec<Record> = (1..=4000).map(entry).collect();
-    let mut first = all.clone();
-    first.push(publish::record(5000, publish::entry("gate-7", 20)));
-    let mut second = all;
-    second.push(publish::record(5001, publish::tombstone(Kind::Entry, "gate-9")));
-    let mut machines = [machine(NAMES[0], first), machine(NAMES[1], second)];
-    let mut frames: Vec<(usize, Frame)> = vec![(0, publish::frame(NAMES[1], "", 1))];
-    let mut records = 0;
-    let mut bytes = 0;
+    let common: Vec<Record> = (1..=4000).map(entry).collect();
+    let mut first_records = common.clone();
+    first_records.push(publish::record(5000, publish::entry("gate-7", 20)));
+    let mut second_records = common;
+    second_records.push(publish::record(5001, publish::tombstone(Kind::Entry, "gate-9")));
+    let mut machines = [machine(NAMES[0], first_records), machine(NAMES[1], second_records)];
+    let mut frames_in_flight: Vec<(usize, Frame)> = vec![(0, publish::frame(NAMES[1], "", 1))];
+    let mut records_sent = 0;
+    let mut max_frame_bytes = 0;
     for _ in 0..50 {
-        let Some((to, mut frame)) = frames.pop() else {
+        let Some((to, mut frame)) = frames_in_flight.pop() else {
             break;
         };
-        // Only the second instance compares, so that each step of one exchange is needed.
+        // Only the digests to the first instance are delivered, so that each step of one exchange
+        // is needed.
         frame.digest = frame.digest.filter(|_| to == 0);
-        records += frame.records.len();
-        bytes = bytes.max(frame.encoded_len());
+        records_sent += frame.records.len();
+        max_frame_bytes = max_frame_bytes.max(frame.encoded_len());
         let mut out = Vec::new();
         machines[to].handle(NOW, Event::Frame(Box::new(frame)), &mut out);
         for action in out {
             if let Action::Send { frame, .. } = action {
-                frames.insert(0, (1 - to, *frame));
+                frames_in_flight.insert(0, (1 - to, *frame));
             }
         }
     }
     assert_eq!(publish::known(&machines[0]), publish::known(&machines[1]));
-    assert!(records < 40, "{records} records were sent");
-    assert!(bytes < 8192, "{bytes} bytes in one frame");
+    assert!(records_sent < 40, "{records_sent} records were sent");
+    assert!(max_frame_bytes < 8192, "{max_frame_bytes} bytes in one frame");
 }
--- a/crates/core/tests/fleet/session.rs
+++ b/crates/core/tests/fleet/session.rs
@@ -1,4 +1,4 @@
-//! A whole session as a golden file.
+//! Snapshot test of all actions of a small fleet during the replacement of an instance.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
 use crate::concert::{name, platform, zone};
 use crate::publish;
 
-/// An action in one line; none for frames without news and for counters.
-pub(crate) fn line(action: &Action) -> Option<String> {
+/// Describes an action in one line; none for counters and frames that carry no changes.
+pub(crate) fn action_line(action: &Action) -> Option<String> {
     match action {
         Action::Send { to, frame } => {
-            let news = news(frame);
-            (!news.is_empty()).then(|| format!("to {to}: {}", news.join(" ")))
+            let changes = frame_changes(frame);
+            (!changes.is_empty()).then(|| format!("to {to}: {}", changes.join(" ")))
         }
         Action::Watch(read) => Some(format!("watch after {} for {:?}", read.after, read.wait)),
-        Action::View(view) => Some(describe(view)),
+        Action::View(view) => Some(view_line(view)),
         Action::Log(belief) => Some(format!("log {belief:?}")),
         Action::Refused { record, detail, .. } => Some(format!("refused {record}: {detail}")),
         Action::Generation(generation) => Some(format!("generation {generation}")),
@@ -27,32 +27,33 @@
     }
 }
 
-fn news(frame: &Frame) -> Vec<String> {
+fn frame_changes(frame: &Frame) -> Vec<String> {
     let records = frame.records.iter();
     let records = records.map(|record| format!("[{} at {}]", Key::of(record), record.revision));
-    let rumours = frame.rumours.iter().map(rumour);
+    let rumours = frame.rumours.iter().map(rumour_line);
     let departures = frame.departures.iter();
-    let departures = departures.map(|known| format!("{} leaves", known.server));
+    let departures = departures.map(|departure| format!("{} leaves", departure.server));
     records.chain(rumours).chain(departures).collect()
 }
 
-fn rumour(rumour: &Rumour) -> String {
+fn rumour_line(rumour: &Rumour) -> String {
     let liveness = rumour.liveness();
     let (name, generation) = (&rumour.name, rumour.generation);
     format!("({name} {generation}.{} {liveness:?})", rumour.refutation)
 }
 
-fn describe(view: &View) -> String {
-    let services: Vec<String> = view.services.values().map(|known| service(known)).collect();
+fn view_line(view: &View) -> String {
+    let services: Vec<String> =
+        view.services.values().map(|service| service_line(service)).collect();
     let ready = if view.ready { "ready" } else { "not ready" };
     let (generation, revision) = (view.generation, view.revision);
     format!("view {generation} of revision {revision}, {ready}: {}", services.join("; "))
 }
 
-fn service(service: &Service) -> String {
+fn service_line(service: &Service) -> String {
     let candidates = service.candidates.iter().map(|candidate| {
-        let mark = if candidate.live { "" } else { "!" };
-        format!("{mark}{}", candidate.peer.name)
+        let not_live_mark = if candidate.live { "" } else { "!" };
+        format!("{not_live_mark}{}", candidate.peer.name)
     });
     let candidates: Vec<String> = candidates.collect();
     let shares = service.servers.iter().map(|server| server.share.to_string());
@@ -60,10 +61,10 @@
     format!("{} by {} with {}", service.name, candidates.join(" "), shares.join("+"))
 }
 
-/// An instance is replaced: the new one starts and is listed, the old one drains, leaves the list
-/// and dies. The file shows each view on the way, and who told whom.
+/// Replaces an instance: the new one starts and is listed, then the old one drains, leaves the list
+/// and ends. The snapshot contains each view and each broadcast on the way.
 #[test]
-fn replacement_of_an_instance() {
+fn instance_replacement_matches_snapshot() {
     let mut fleet = platform(3, 1);
     for at in 0..3 {
         fleet.start(&name(at), zone(at));
@@ -78,5 +79,5 @@
     fleet.kill(&name(1), true);
     fleet.put(102, publish::tombstone(Kind::Instance, &name(1)));
     fleet.run(Duration::from_secs(4));
-    insta::assert_snapshot!(fleet.log.join("\n"));
+    insta::assert_snapshot!(fleet.action_log.join("\n"));
 }
--- a/crates/core/tests/fleet/volume.rs
+++ b/crates/core/tests/fleet/volume.rs
@@ -1,4 +1,4 @@
-//! What the publication costs in bytes between zones while it spreads over a large fleet.
+//! Bytes sent between zones while the publication spreads over a large fleet.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use crate::publish;
 
 const ZONES: [&str; 5] = ["campanha", "sao-bento", "trindade", "boavista", "matosinhos"];
-const INSTANCES: usize = 40;
-const SERVICES: usize = 60;
+const INSTANCE_COUNT: usize = 40;
+const SERVICE_COUNT: usize = 60;
 
-fn routing(version: u64) -> Body {
+fn routes(version: u64) -> Body {
     let name = |at: usize| format!("gate-finder-{at}");
-    let entries = (0..SERVICES).map(|at| match publish::entry(&name(at), 100) {
+    let entries = (0..SERVICE_COUNT).map(|at| match publish::entry(&name(at), 100) {
         Body::Entry(entry) => entry,
-        _ => unreachable!("an entry"),
+        _ => unreachable!("the fixture is an entry"),
     });
     let sweep = Route {
         name: "sweep".to_owned(),
@@ -28,7 +28,7 @@
         urgency: Urgency::Elevated.into(),
         target_ms: 100,
         floor_permille: 900,
-        parts: (0..SERVICES).map(name).collect(),
+        parts: (0..SERVICE_COUNT).map(name).collect(),
         timeout_ms: 600,
         attempts: 2,
         top: 20,
@@ -49,17 +49,17 @@
         let service = format!("gate-finder-{}", at / 2);
         publish::server(&format!("{service}-{}", at % 2), &service, first, State::Live)
     };
-    publish::records(first, (0..2 * SERVICES).map(server))
+    publish::records(first, (0..2 * SERVICE_COUNT).map(server))
 }
 
-fn started() -> Fleet {
+fn started_fleet() -> Fleet {
     let mut fleet = Fleet::new();
     fleet.listing = Listing::Observed;
-    fleet.lists_whole = true;
+    fleet.sends_full_listing = true;
     fleet.publish(servers(10));
-    fleet.publish([publish::record(1000, routing(1))]);
+    fleet.publish([publish::record(1000, routes(1))]);
     fleet.seeds = (0..5).map(|at| publish::address(&concert::name(at))).collect();
-    for at in 0..INSTANCES {
+    for at in 0..INSTANCE_COUNT {
         fleet.start(&concert::name(at), ZONES[at % ZONES.len()]);
     }
 
@@ -67,65 +67,72 @@
     fleet
 }
 
-/// Bytes that cross between zones in this time.
-fn crossed(fleet: &mut Fleet, span: Duration) -> usize {
-    let before = fleet.crossed;
+/// Number of bytes sent between zones while the fleet runs for this time.
+fn cross_zone_bytes_during(fleet: &mut Fleet, span: Duration) -> usize {
+    let before = fleet.cross_zone_bytes;
     fleet.run(span);
-    fleet.crossed - before
+    fleet.cross_zone_bytes - before
 }
 
-fn size(records: &[Record]) -> usize {
+fn encoded_bytes(records: &[Record]) -> usize {
     records.iter().map(Message::encoded_len).sum()
 }
 
-/// Operators pay for what crosses between zones, and on a quiet day the start of a large fleet was half
-/// of it. Each instance read the whole publication and pushed it to four peers, told each seed that it
-/// held nothing and got it from them again, and told every rumour of the others two dozen times.
-/// Nothing of the publication has to cross, as each instance has it from the platform.
+/// Operators pay for traffic between zones, and the start of a large fleet once made up half of it
+/// on a day without failures. Each instance read the whole publication and pushed it to four peers,
+/// sent each seed an empty digest and received the publication again, and sent each gossip update
+/// about two dozen times. No record has to cross zones at a start, because each instance gets all
+/// records from the platform.
 #[test]
-fn starts_do_not_carry_the_publication_between_zones() {
-    let mut fleet = started();
+fn starting_instances_do_not_send_the_publication_across_zones() {
+    let mut fleet = started_fleet();
     fleet.run(Duration::from_secs(10));
-    let start = fleet.crossed;
-    let idle = crossed(&mut fleet, Duration::from_secs(10));
-    let publication = size(&servers(10)) + size(&[publish::record(1000, routing(1))]);
-    let each = start.saturating_sub(idle) / INSTANCES;
-    assert!(each < publication, "{each} bytes an instance, publication {publication}");
+    let start_bytes = fleet.cross_zone_bytes;
+    let idle_bytes = cross_zone_bytes_during(&mut fleet, Duration::from_secs(10));
+    let publication_bytes =
+        encoded_bytes(&servers(10)) + encoded_bytes(&[publish::record(1000, routes(1))]);
+    let bytes_per_instance = start_bytes.saturating_sub(idle_bytes) / INSTANCE_COUNT;
+    assert!(
+        bytes_per_instance < publication_bytes,
+        "{bytes_per_instance} bytes per instance, publication of {publication_bytes}"
+    );
 }
 
-/// A new version of the routes is a record of many kilobytes. Each instance pushed it to four peers in
-/// any zone, so that it crossed three times for each instance. Each zone has readers that have it from
-/// the platform: it has to cross no more than once for each zone.
+/// A new version of the routes is a record of many kilobytes. Each instance used to push it to four
+/// peers in any zone, so that it crossed zones three times per instance. Each zone has readers that
+/// get it from the platform, so it has to cross at most once per zone.
 #[test]
-fn news_stays_in_its_zone() {
-    let mut fleet = started();
+fn change_crosses_zones_at_most_once_per_zone() {
+    let mut fleet = started_fleet();
     fleet.run(Duration::from_secs(10));
-    let idle = crossed(&mut fleet, Duration::from_secs(5));
-    let record = publish::record(2000, routing(2));
+    let idle_bytes = cross_zone_bytes_during(&mut fleet, Duration::from_secs(5));
+    let record = publish::record(2000, routes(2));
     fleet.publish([record.clone()]);
-    let news = crossed(&mut fleet, Duration::from_secs(5)).saturating_sub(idle);
-    let most = size(&[record]) * ZONES.len();
-    assert!(news < most, "{news} bytes, one copy for each zone is {most}");
-    assert!(fleet.nodes.values().all(|node| version(node) == Some(2)));
+    let change_bytes =
+        cross_zone_bytes_during(&mut fleet, Duration::from_secs(5)).saturating_sub(idle_bytes);
+    let max_bytes = encoded_bytes(&[record]) * ZONES.len();
+    assert!(change_bytes < max_bytes, "{change_bytes} bytes, one copy per zone is {max_bytes}");
+    assert!(fleet.nodes.values().all(|node| route_version(node) == Some(2)));
 }
 
-/// The platform serves no instance of one zone. News that is told within zones alone would never be in
-/// force there; digests, which go anywhere, bring it.
+/// The platform refuses all instances of one zone. A change that is pushed only within zones would
+/// never arrive there; digests, which also cross zones, deliver it.
 #[test]
-fn zone_that_can_not_read_learns_from_others() {
-    let mut fleet = started();
+fn zone_without_platform_access_receives_changes_by_digest() {
+    let mut fleet = started_fleet();
     fleet.run(Duration::from_secs(10));
-    let lone: Vec<String> = (0..INSTANCES).step_by(ZONES.len()).map(concert::name).collect();
-    fleet.refuse(&lone);
+    let zone_instances: Vec<String> =
+        (0..INSTANCE_COUNT).step_by(ZONES.len()).map(concert::name).collect();
+    fleet.refuse(&zone_instances);
     fleet.run(Duration::from_secs(2));
-    fleet.put(2000, routing(2));
+    fleet.put(2000, routes(2));
     fleet.until("routes in the zone that can't read", Duration::from_secs(3), |fleet| {
-        fleet.nodes.values().all(|node| version(node) == Some(2))
+        fleet.nodes.values().all(|node| route_version(node) == Some(2))
     });
 }
 
-/// The version of the routes in force.
-fn version(node: &Node) -> Option<u64> {
+/// Version of the routes in force at an instance.
+fn route_version(node: &Node) -> Option<u64> {
     node.machine.records().find_map(|(_, record)| match &record.body {
         Some(Body::Routing(routing)) => Some(routing.version),
         _ => None,
