--- a/crates/core/src/control/event.rs
+++ b/crates/core/src/control/event.rs
@@ -57,7 +57,7 @@
     Paused(Duration),
     /// The instance starts its graceful stop and notifies its peers.
     Drain,
-    /// The time requested by `Machine::next_wake` has come.
+    /// The time requested by `Machine::next_wake` has been reached.
     Tick,
 }
 
--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -25,7 +25,7 @@
 use crate::view::View;
 
 /// Number of random peers that a change is sent to at once.
-const NEWS_FANOUT: usize = 4;
+const BROADCAST_FANOUT: usize = 4;
 /// Number of random peers that receive gossip updates at each probe, besides the neighbours.
 const GOSSIP_FANOUT: usize = 2;
 /// Number of peers that this instance notifies directly when it leaves.
@@ -428,7 +428,7 @@
         }));
         let mut frame = self.own_frame();
         self.quarantine.write(now, &mut frame);
-        for peer in self.random_peers(NEWS_FANOUT) {
+        for peer in self.random_peers(BROADCAST_FANOUT) {
             peer.send(frame.clone(), out);
         }
     }
@@ -436,7 +436,7 @@
     fn handle_pause(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.membership.resumed(now);
         self.reader.resumed(now);
-        for peer in self.random_peers(NEWS_FANOUT) {
+        for peer in self.random_peers(BROADCAST_FANOUT) {
             self.send_digest(now, &peer, out);
         }
     }
--- a/crates/core/src/control/machine/exchange.rs
+++ b/crates/core/src/control/machine/exchange.rs
@@ -6,8 +6,8 @@
 use ladder_schema::wire::{Departure, Digest, Frame, Probe, Rumour};
 
 use super::{
-    DEFERRABLE_BUCKETS, FIRST_READ_WAIT, GOSSIP_FANOUT, MAX_DEFERRED_DIGESTS, Machine, NEWS_FANOUT,
-    PROPAGATION_TIME, START_FANOUT,
+    BROADCAST_FANOUT, DEFERRABLE_BUCKETS, FIRST_READ_WAIT, GOSSIP_FANOUT, MAX_DEFERRED_DIGESTS,
+    Machine, PROPAGATION_TIME, START_FANOUT,
 };
 use crate::control::Action;
 use crate::control::belief::Belief;
@@ -55,10 +55,10 @@
                 quarantine.merge(now, &frame)
             });
         }
-        let mut news = self.apply(now, &frame.records, out);
-        news.departures = self.apply_departures(frame.departures).departures;
-        self.log_records(&news, &frame.from, out);
-        self.broadcast(now, &news, &frame.address, out);
+        let mut changes = self.apply(now, &frame.records, out);
+        changes.departures = self.apply_departures(frame.departures).departures;
+        self.log_records(&changes, &frame.from, out);
+        self.broadcast(now, &changes, &frame.address, out);
         if let Some(digest) = &frame.digest {
             self.reader.note_peer_digest(now);
             reply.digest = self.store.lacks_buckets(digest).then(|| self.digest());
@@ -171,8 +171,8 @@
         out: &mut Vec<Action>,
     ) {
         let records = records.iter().map(|record| Record::clone(record)).collect();
-        let news = News { records, departures };
-        for chunk in news.parts() {
+        let changes = News { records, departures };
+        for chunk in changes.parts() {
             send(&address.into(), chunk.into_frame(self.own_frame()), out);
         }
     }
@@ -290,18 +290,18 @@
     pub(super) fn broadcast(
         &mut self,
         now: Instant,
-        news: &News,
+        changes: &News,
         except_address: &str,
         out: &mut Vec<Action>,
     ) {
-        if news.is_empty() {
+        if changes.is_empty() {
             return;
         }
-        let mut chunks = news.parts();
+        let mut chunks = changes.parts();
         let fits_one_frame = chunks.len() == 1;
-        let mut peers = self.random_near_peers(NEWS_FANOUT + 1);
+        let mut peers = self.random_near_peers(BROADCAST_FANOUT + 1);
         peers.retain(|peer| *peer.address != *except_address);
-        peers.truncate(NEWS_FANOUT);
+        peers.truncate(BROADCAST_FANOUT);
         let Some(chunk) = chunks.pop().filter(|_| fits_one_frame) else {
             peers.iter().for_each(|peer| self.send_digest(now, peer, out));
             return;
--- a/crates/core/src/control/machine/records.rs
+++ b/crates/core/src/control/machine/records.rs
@@ -46,8 +46,8 @@
     /// running fleet already has them. The digest exchange that follows at once finds those that it
     /// lacks.
     fn apply_first_listing(&mut self, now: Instant, records: &[Record], out: &mut Vec<Action>) {
-        let news = self.apply(now, records, out);
-        self.log_records(&news, "", out);
+        let changes = self.apply(now, records, out);
+        self.log_records(&changes, "", out);
         self.next_digest_at = now;
     }
 
@@ -58,24 +58,24 @@
         records: &[Record],
         out: &mut Vec<Action>,
     ) {
-        let news = self.apply(now, records, out);
-        self.log_records(&news, "", out);
-        self.broadcast(now, &news, "", out);
+        let changes = self.apply(now, records, out);
+        self.log_records(&changes, "", out);
+        self.broadcast(now, &changes, "", out);
     }
 
     /// Logs the records that came into force, and the peer that sent them, if any.
-    pub(super) fn log_records(&self, news: &News, from: &str, out: &mut Vec<Action>) {
-        let Some(newest) = news.records.iter().map(|record| record.revision).max() else {
+    pub(super) fn log_records(&self, changes: &News, from: &str, out: &mut Vec<Action>) {
+        let Some(newest) = changes.records.iter().map(|record| record.revision).max() else {
             return;
         };
-        let withdrawn = news.records.iter().filter(|record| is_tombstone(record)).count();
+        let withdrawn = changes.records.iter().filter(|record| is_tombstone(record)).count();
         out.push(Action::Log(Belief::Records {
             from: from.into(),
             revision: newest,
-            count: news.records.len(),
+            count: changes.records.len(),
             withdrawn,
         }));
-        for record in &news.records {
+        for record in &changes.records {
             out.extend(self.record_log_entry(record).map(Action::Log));
         }
     }
@@ -151,14 +151,14 @@
         records: &[Record],
         out: &mut Vec<Action>,
     ) -> News {
-        let mut news = News::default();
+        let mut changes = News::default();
         let mut instances_changed = false;
         for record in records {
             self.withdrawals.drop_superseded(&Key::of(record), record.revision);
             match self.store.apply(record) {
                 Outcome::Applied => {
                     instances_changed |= Key::of(record).kind == Kind::Instance;
-                    news.records.push(record.clone());
+                    changes.records.push(record.clone());
                 }
                 Outcome::Known => {}
                 Outcome::Stale => out.push(count_drop(Reason::StaleRevision)),
@@ -172,14 +172,14 @@
                 }
             }
         }
-        if !news.records.is_empty() {
+        if !changes.records.is_empty() {
             self.store_changed = true;
             self.store_changed_at = now;
         }
         if instances_changed {
             self.membership.publish(now, self.store.instances());
         }
-        news
+        changes
     }
 
     pub(super) fn server_leaving(
@@ -190,19 +190,19 @@
         out: &mut Vec<Action>,
     ) {
         let departure = Departure { server: name.to_owned(), incarnation };
-        let news = self.apply_departures(vec![departure]);
-        self.broadcast(now, &news, "", out);
+        let changes = self.apply_departures(vec![departure]);
+        self.broadcast(now, &changes, "", out);
     }
 
     pub(super) fn apply_departures(&mut self, departures: Vec<Departure>) -> News {
-        let mut news = News::default();
+        let mut changes = News::default();
         for departure in departures {
             if self.store.mark_leaving(&departure.server, departure.incarnation) {
-                news.departures.push(departure);
+                changes.departures.push(departure);
             }
         }
-        self.store_changed |= !news.departures.is_empty();
-        news
+        self.store_changed |= !changes.departures.is_empty();
+        changes
     }
 }
 
--- a/crates/core/src/control/reader.rs
+++ b/crates/core/src/control/reader.rs
@@ -48,8 +48,9 @@
     ///
     /// The platform may refuse its readers and serve others. In that case the next instances in the
     /// zone ask: first as many as there are readers, then twice as many, an eighth of the contact
-    /// time later. No further instance asks, even if the platform answers nobody. The first delay
-    /// is the longest time that a watch and the delivery of its records take in normal operation.
+    /// time later. No further instance asks, even if the platform answers no instance. The first
+    /// delay is the longest time that a watch and the delivery of its records take in normal
+    /// operation.
     fn fallback_delay(self, timing: Timing) -> Option<Duration> {
         match self.0 {
             MAX_READERS_PER_ZONE_IN_OUTAGE.. => None,
@@ -267,8 +268,8 @@
         self.is_read_open = true;
         self.read_started_at = now;
         // While the platform does not answer, the answer to a read may be lost. If that read waited
-        // for new records, the loss would be detected only after the wait, and nobody would ask the
-        // platform meanwhile even if it had recovered.
+        // for new records, the loss would be detected only after the wait, and no instance would
+        // ask the platform meanwhile even if it had recovered.
         let may_wait = is_reader && !self.read_at_once && !self.is_failing();
         let wait = if may_wait { timing.watch() } else { Duration::ZERO };
         if !is_reader {
--- a/crates/core/tests/fleet/concert.rs
+++ b/crates/core/tests/fleet/concert.rs
@@ -154,7 +154,8 @@
 }
 
 /// An owner is killed. When its connections break, every other instance moves its services to the
-/// next candidate; if the links only go silent, the failure detection timeouts come first.
+/// next candidate; if the connections only go silent, the move takes longer by the failure
+/// detection timeouts.
 #[test]
 fn services_of_a_dead_owner_move_to_the_next_candidate() {
     for (break_links, bound) in [(true, 50), (false, 2500)] {
--- a/crates/core/tests/fleet/listing.rs
+++ b/crates/core/tests/fleet/listing.rs
@@ -18,7 +18,7 @@
 /// Number of servers of the service.
 const SERVER_COUNT: u64 = 20;
 
-/// A single control machine that is not told the list of instances and counts those that it
+/// A single control machine without a published list of instances, which counts those that it
 /// receives frames from.
 pub(crate) struct ObservingInstance {
     pub(crate) machine: Machine,
--- a/crates/core/tests/fleet/many.rs
+++ b/crates/core/tests/fleet/many.rs
@@ -253,9 +253,9 @@
     assert_eq!(share(RoutedServices::NotYetRouted), share(RoutedServices::OneSweep));
 }
 
-/// Aggregation is assigned by the processor sizes that instances report. Instances that know each
-/// other only through gossip need these sizes too; otherwise some take weak instances for strong
-/// ones and assign other aggregators than the rest.
+/// Aggregation work is assigned by the processor sizes that instances report. Instances that know
+/// each other only through gossip need these sizes too; otherwise some take weak instances for
+/// strong ones and assign other aggregators than the rest.
 #[test]
 fn processor_sizes_are_known_to_all_instances() {
     let millicores = |at: usize| if at.is_multiple_of(4) { 500 } else { 120 };
@@ -268,14 +268,14 @@
         fleet.start(&name(at), zone(at));
     }
     fleet.run(Duration::from_secs(10));
-    let known = |node: &Node| -> BTreeMap<String, u32> {
+    let known_sizes = |node: &Node| -> BTreeMap<String, u32> {
         let neighbours = node.machine.view().neighbours.iter();
         neighbours.map(|other| (other.peer.name.to_string(), other.millicores)).collect()
     };
-    for (own, node) in &fleet.nodes {
-        let others = (0..24).filter(|at| name(*at) != *own);
+    for (own_name, node) in &fleet.nodes {
+        let others = (0..24).filter(|at| name(*at) != *own_name);
         let expected: BTreeMap<_, _> = others.map(|at| (name(at), millicores(at))).collect();
-        assert_eq!(known(node), expected, "at {own}");
+        assert_eq!(known_sizes(node), expected, "at {own_name}");
     }
 }
 
