--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -1,8 +1,9 @@
-//! Who is in the fleet and alive, as this instance sees it.
+//! Membership of the fleet: the instances that this instance knows and which of them it considers
+//! alive.
 //!
-//! Members come from the published list and from what instances tell each other. An instance
-//! probes only its [`NEIGHBOURS`] successors on a ring, so the cost does not grow with the fleet;
-//! what it finds travels as rumours on frames that are sent anyway.
+//! Members are learned from the published list of instances and from gossip between instances. An
+//! instance probes only its [`PROBED_SUCCESSORS`] successors on a hash ring, so the cost does not
+//! grow with the fleet. Detected changes travel as gossip updates on frames that are sent anyway.
 
 mod hearsay;
 mod member;
@@ -16,89 +17,99 @@
 use ladder_schema::publication::{Instance, State};
 use ladder_schema::wire::{Frame, Liveness, Rumour};
 
-pub use member::{Member, Why};
+pub use member::{Evidence, Member};
 
 use super::hash;
 use super::settings::{Settings, Timing};
 use crate::collections::Map;
 use crate::time::Instant;
 
-/// Ring successors that an instance probes.
-pub const NEIGHBOURS: usize = 3;
-/// Those of them that may stand in any zone. With a single one a lost zone is found out a member after the
-/// other, as the next one on the ring is often lost with it.
-const ANYWHERE: usize = 2;
-/// How long a dead or leaving member that is not published is remembered, in dead periods, so that
-/// rumours still on their way do not bring it back.
-const FORGET: u32 = 20;
-
-/// Whether work may be given to an instance; the greatest of a service's candidates is preferred.
+/// Number of ring successors that an instance probes.
+pub const PROBED_SUCCESSORS: usize = 3;
+/// Number of probed ring successors that may be in any zone. With only one, the loss of a zone is
+/// detected one member at a time, because the next member on the ring is often lost too.
+const PROBED_IN_ANY_ZONE: usize = 2;
+/// How long a dead or leaving member that is not published is remembered, in multiples of
+/// `Timing::dead`. Forgetting it earlier would let gossip updates still in transit add it again.
+const DEAD_PERIODS_REMEMBERED: u32 = 20;
+
+/// Whether work may be given to an instance. Among the candidates of a service, the greatest value
+/// is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Dead, leaving or unknown.
+    /// The instance is dead, leaving or unknown.
     Gone,
-    /// Suspected. When no candidate of a service is better, the suspicion is more likely wrong
-    /// than not, and a suspect asked in vain costs no more than no owner at all.
+    /// The instance is suspected. If no candidate of a service has a better standing, the
+    /// suspicion is more likely wrong than right, and an unanswered request to a suspect costs no
+    /// more than having no owner.
     Suspect,
-    /// Alive, but of a generation so new that it may not have its shares yet.
+    /// The instance is alive, but its generation is so new that its connection shares may not have
+    /// been granted yet.
     Fresh,
-    /// Alive.
+    /// The instance is alive and its generation is old enough to be preferred as an owner.
     Settled,
 }
 
-/// What a frame says about its sender.
+/// What a received frame implies about its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// Nothing new.
+    /// The sender's state did not change.
     Known,
-    /// A member or generation that was not known.
+    /// The sender is a member or a generation that was not known before.
     Joined,
-    /// It was suspected or held dead: tell it, so that it refutes.
+    /// The sender was suspected or considered dead. The update must be sent to it so that it
+    /// refutes.
     Doubted(Rumour),
-    /// From an earlier life of a member, or from a later one whose host's clock was set back: this
-    /// is what the sender must hear of itself.
+    /// The frame is from an earlier generation of the member, or from a later process whose host's
+    /// clock was set back. The update with the known generation must be sent to the sender.
     Outlived(Rumour),
-    /// Not from a member: this instance itself, or nobody that could be answered.
+    /// The frame is not from a usable member: it names this instance as sender, or has no sender
+    /// name or no address to reply to.
     Ignored,
 }
 
-/// Who is in the fleet and alive.
+/// The members of the fleet and their liveness, as this instance knows them.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    /// This instance.
+    /// This instance as a member.
     own: Member,
-    /// Invariant: does not hold this instance.
+    /// All other members by name.
+    ///
+    /// Invariant: does not contain this instance.
     members: BTreeMap<Arc<str>, Member>,
-    rumours: queue::Queue,
-    watch: watch::Watch,
+    gossip: queue::GossipQueue,
+    detector: watch::FailureDetector,
     timing: Timing,
-    /// Something that a view depends on changed since it was last asked.
+    /// Whether something that a view depends on changed since the last
+    /// [`Membership::take_changed`].
     changed: bool,
-    /// A member came, went, died or returned since the ring was computed.
-    ring_stale: bool,
-    /// Other members of this instance's zone that may be sent to, when the ring was computed.
-    near: usize,
+    /// Whether a member was added, removed or changed its liveness since the probe ring was
+    /// computed.
+    probe_ring_stale: bool,
+    /// Number of other reachable members in this instance's zone when the probe ring was last
+    /// computed.
+    zone_peers: usize,
 }
 
 impl Membership {
-    /// Knows only this instance.
+    /// Creates a membership that knows only this instance.
     pub fn new(settings: &Settings, now: Instant) -> Self {
-        let mut own = Member::new(&settings.name, now, Why::Own);
+        let mut own = Member::new(&settings.name, now, Evidence::ThisInstance);
         own.address = Arc::clone(&settings.address);
         own.zone = Arc::clone(&settings.zone);
         own.millicores = settings.millicores;
         own.generation = settings.incarnation;
-        let mut rumours = queue::Queue::default();
-        rumours.push(&own.name);
+        let mut gossip = queue::GossipQueue::default();
+        gossip.push(&own.name);
         Self {
             own,
             members: BTreeMap::new(),
-            rumours,
-            watch: watch::Watch::new(now),
+            gossip,
+            detector: watch::FailureDetector::new(now),
             timing: settings.timing,
             changed: true,
-            ring_stale: true,
-            near: 0,
+            probe_ring_stale: true,
+            zone_peers: 0,
         }
     }
 
@@ -112,7 +123,7 @@
         self.members.values()
     }
 
-    /// The member of this name, which may be this instance.
+    /// The member with this name, which may be this instance.
     pub fn get(&self, name: &str) -> Option<&Member> {
         if *self.own.name == *name {
             return Some(&self.own);
@@ -120,23 +131,24 @@
         self.members.get(name)
     }
 
-    /// Instances that are in the fleet or were of late, this one included. The dead count until they
-    /// are forgotten: most of them come back, and those that a partition hides still hold what they
-    /// hold.
+    /// Number of instances that are or recently were in the fleet, including this one. Dead
+    /// members count until they are forgotten: most of them return, and members hidden by a
+    /// network partition still hold their connections.
     pub fn size(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// Other members that may be sent to: neither dead nor leaving.
+    /// Other members that may receive frames: neither dead nor leaving.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|member| member.is_reachable())
     }
 
-    /// Published members held dead. They are asked now and then, as after a partition each side
-    /// holds the other dead and neither would ever speak first.
+    /// Published members considered dead. They are contacted now and then: after a network
+    /// partition each side considers the other dead, and otherwise neither would send the first
+    /// frame.
     pub fn lost(&self) -> impl Iterator<Item = &Member> {
-        let lost = |member: &&Member| member.liveness == Liveness::Dead;
-        self.members.values().filter(lost).filter(|member| member.published.is_some())
+        let is_dead = |member: &&Member| member.liveness == Liveness::Dead;
+        self.members.values().filter(is_dead).filter(|member| member.published_state.is_some())
     }
 
     /// Whether something that a view depends on changed since [`Membership::take_changed`].
@@ -144,18 +156,18 @@
         self.changed
     }
 
-    /// Whether something that a view depends on changed since the last call.
+    /// Whether something that a view depends on changed since the last call; resets the flag.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Takes over the published list.
-    pub fn publish<'a>(&mut self, now: Instant, list: impl Iterator<Item = &'a Instance>) {
+    /// Replaces the published list of instances.
+    pub fn publish<'a>(&mut self, now: Instant, instances: impl Iterator<Item = &'a Instance>) {
         for member in self.members.values_mut() {
-            member.published = None;
+            member.published_state = None;
         }
-        self.own.published = None;
-        for instance in list {
+        self.own.published_state = None;
+        for instance in instances {
             self.publish_one(now, instance);
         }
         self.note_change();
@@ -164,13 +176,13 @@
     fn publish_one(&mut self, now: Instant, instance: &Instance) {
         let state = instance.state();
         if instance.name == *self.own.name {
-            self.own.published = Some(state);
+            self.own.published_state = Some(state);
             return;
         }
         let name: Arc<str> = instance.name.as_str().into();
-        let listed = || Member::new(&name, now, Why::Published);
-        let member = self.members.entry(Arc::clone(&name)).or_insert_with(listed);
-        member.published = Some(state);
+        let new_member = || Member::new(&name, now, Evidence::Published);
+        let member = self.members.entry(Arc::clone(&name)).or_insert_with(new_member);
+        member.published_state = Some(state);
         if member.generation == 0 || member.address.is_empty() {
             member.address = instance.peer_address.as_str().into();
         }
@@ -179,103 +191,109 @@
 
     fn note_change(&mut self) {
         self.changed = true;
-        self.ring_stale = true;
+        self.probe_ring_stale = true;
     }
 
-    /// Takes in that a frame came; any frame is a sign of life.
+    /// Processes a received frame. Any frame is a sign of life of its sender.
     pub fn heard(&mut self, now: Instant, frame: &Frame) -> Life {
         if frame.from.is_empty() || frame.from == *self.own.name || frame.address.is_empty() {
             return Life::Ignored;
         }
-        self.watch.answered();
-        let known = self.members.get_mut(frame.from.as_str());
-        let Some(member) = known.filter(|member| frame.generation <= member.generation) else {
-            self.join(now, frame);
+        self.detector.note_frame();
+        let known_member = self.members.get_mut(frame.from.as_str());
+        let Some(member) = known_member.filter(|member| frame.generation <= member.generation)
+        else {
+            self.add_sender(now, frame);
             return Life::Joined;
         };
         if frame.generation < member.generation {
             return Life::Outlived(member.as_rumour());
         }
-        member.heard = Some(now);
-        self.returned(now, &frame.from)
+        member.last_frame_at = Some(now);
+        self.reconsider_on_frame(now, &frame.from)
     }
 
-    fn join(&mut self, now: Instant, frame: &Frame) {
+    fn add_sender(&mut self, now: Instant, frame: &Frame) {
         let name: Arc<str> = frame.from.as_str().into();
-        let old = self.members.get(&name);
-        let mut member = Member::new(&name, now, Why::Heard);
+        let previous = self.members.get(&name);
+        let mut member = Member::new(&name, now, Evidence::FrameReceived);
         member.address = frame.address.as_str().into();
         member.zone = frame.zone.as_str().into();
         member.millicores = frame.millicores;
         member.generation = frame.generation;
-        member.heard = Some(now);
-        member.published = old.and_then(|old| old.published);
-        if let Some(old) = old.filter(|old| old.generation == 0) {
-            member.joined = old.joined;
+        member.last_frame_at = Some(now);
+        member.published_state = previous.and_then(|previous| previous.published_state);
+        if let Some(previous) = previous.filter(|previous| previous.generation == 0) {
+            member.generation_known_at = previous.generation_known_at;
         }
-        let is_news = old.is_none_or(|old| old.generation > 0 || !old.is_reachable());
-        if is_news {
-            self.rumours.push(&name);
+        let is_new_to_peers =
+            previous.is_none_or(|previous| previous.generation > 0 || !previous.is_reachable());
+        if is_new_to_peers {
+            self.gossip.push(&name);
         }
         self.members.insert(name, member);
         self.note_change();
     }
 
-    /// A suspect that speaks is alive. A member held dead must also refute: its frame may have
-    /// been sent before it died, and by then nobody would be left to notice the death again.
-    fn returned(&mut self, now: Instant, name: &str) -> Life {
+    /// A suspected member that sends a frame is alive. A member considered dead must also refute:
+    /// its frame may have been sent before its death, and no instance would detect that death a
+    /// second time.
+    fn reconsider_on_frame(&mut self, now: Instant, name: &str) -> Life {
         let Some(member) = self.members.get_mut(name) else {
             return Life::Ignored;
         };
-        let doubt = member.as_rumour();
+        let suspicion = member.as_rumour();
         match member.liveness {
-            Liveness::Suspect if member.why != Why::Returned => {
-                member.turn(now, Liveness::Alive, Why::Heard);
+            Liveness::Suspect if member.why != Evidence::SeenAgain => {
+                member.set_liveness(now, Liveness::Alive, Evidence::FrameReceived);
             }
-            Liveness::Dead => member.turn(now, Liveness::Suspect, Why::Returned),
+            Liveness::Dead => member.set_liveness(now, Liveness::Suspect, Evidence::SeenAgain),
             _ => return Life::Known,
         }
         self.note_change();
-        Life::Doubted(doubt)
+        Life::Doubted(suspicion)
     }
 
-    /// This instance leaves; final for its generation.
+    /// Marks this instance as leaving, which is final for its generation.
     pub fn leave(&mut self, now: Instant) {
-        self.own.turn(now, Liveness::Leaving, Why::Own);
-        self.rumours.push(&self.own.name);
+        self.own.set_liveness(now, Liveness::Leaving, Evidence::ThisInstance);
+        self.gossip.push(&self.own.name);
         self.note_change();
     }
 
-    fn forget(&mut self, now: Instant) {
-        let span = self.timing.dead * FORGET;
-        let before = self.members.len();
+    fn forget_expired(&mut self, now: Instant) {
+        let retention = self.timing.dead * DEAD_PERIODS_REMEMBERED;
+        let count_before = self.members.len();
         self.members.retain(|_, member| {
-            let gone = matches!(member.liveness, Liveness::Dead | Liveness::Leaving);
-            !gone || member.published.is_some() || now.since(member.since) < span
+            let is_gone = matches!(member.liveness, Liveness::Dead | Liveness::Leaving);
+            !is_gone
+                || member.published_state.is_some()
+                || now.since(member.liveness_since) < retention
         });
-        if self.members.len() != before {
+        if self.members.len() != count_before {
             self.note_change();
         }
     }
 
-    fn refresh_ring(&mut self, now: Instant) {
-        if std::mem::take(&mut self.ring_stale) {
-            let near = |member: &&Member| member.zone == self.own.zone;
-            self.near = self.reachable().filter(near).count();
-            let successors = successors(&self.own, self.reachable());
-            self.watch.set_neighbours(now, successors);
+    fn refresh_probe_ring(&mut self, now: Instant) {
+        if std::mem::take(&mut self.probe_ring_stale) {
+            let same_zone = |member: &&Member| member.zone == self.own.zone;
+            self.zone_peers = self.reachable().filter(same_zone).count();
+            let probed = ring_successors(&self.own, self.reachable());
+            self.detector.set_neighbours(now, probed);
         }
     }
 
     /// The members to probe now.
     pub fn neighbours(&self) -> impl Iterator<Item = &Member> {
-        let names = self.watch.neighbours();
+        let names = self.detector.neighbours();
         names.filter_map(|name| self.members.get(name))
     }
 
-    /// Rumours for one frame to a peer, which may be in another zone, counted as told.
-    pub fn take_rumours(&mut self, far: bool) -> Vec<Rumour> {
-        let names = self.rumours.take(self.told_to(), far);
+    /// Takes gossip updates for one frame to a peer and counts them as sent. `cross_zone`: the peer
+    /// is in another zone.
+    pub fn take_rumours(&mut self, cross_zone: bool) -> Vec<Rumour> {
+        let names = self.gossip.take(self.gossip_scope(), cross_zone);
         let mut rumours: Vec<Rumour> = Vec::with_capacity(names.len() + 1);
         let leaving = self.own.liveness == Liveness::Leaving;
         if leaving && !names.contains(&self.own.name) {
@@ -285,34 +303,39 @@
         rumours
     }
 
-    /// Some rumour has not been told often enough in the own zone, or in others.
-    pub fn has_rumours(&self, far: bool) -> bool {
-        if far { self.rumours.has_far(self.told_to()) } else { !self.rumours.is_empty() }
+    /// Whether some gossip update has not been sent often enough: to other zones if `cross_zone`,
+    /// otherwise within this instance's zone.
+    pub fn has_rumours(&self, cross_zone: bool) -> bool {
+        if cross_zone {
+            self.gossip.has_cross_zone(self.gossip_scope())
+        } else {
+            !self.gossip.is_empty()
+        }
     }
 
-    fn told_to(&self) -> queue::Size {
-        queue::Size { fleet: self.size(), zone: self.near + 1 }
+    fn gossip_scope(&self) -> queue::GossipScope {
+        queue::GossipScope { fleet: self.size(), zone: self.zone_peers + 1 }
     }
 
-    /// Whether a zone is another one than this instance's.
+    /// Whether `zone` differs from this instance's zone.
     pub fn is_far(&self, zone: &str) -> bool {
         *self.own.zone != *zone
     }
 
-    /// What a newcomer cannot know: members that are not alive.
+    /// Gossip updates for a new member, which cannot know yet which members are not alive.
     pub fn doubts(&self) -> Vec<Rumour> {
-        let doubted = |member: &&Member| member.liveness != Liveness::Alive;
-        let members = self.members.values().filter(doubted);
-        members.take(queue::PER_FRAME).map(Member::as_rumour).collect()
+        let is_not_alive = |member: &&Member| member.liveness != Liveness::Alive;
+        let members = self.members.values().filter(is_not_alive);
+        members.take(queue::UPDATES_PER_FRAME).map(Member::as_rumour).collect()
     }
 
-    /// Whether work may be given to the instance of this name. It leaves when either the published
-    /// list or its own rumour says so.
+    /// Whether work may be given to the instance with this name. An instance is leaving if either
+    /// the published list or its own gossip update says so.
     pub fn standing(&self, now: Instant, name: &str) -> Standing {
         let Some(member) = self.get(name) else {
             return Standing::Gone;
         };
-        if member.published == Some(State::Leaving) {
+        if member.published_state == Some(State::Leaving) {
             return Standing::Gone;
         }
         match member.liveness {
@@ -323,23 +346,24 @@
         }
     }
 
-    /// The standing of every member, this instance included.
+    /// The standing of every member, including this instance.
     pub fn standings(&self, now: Instant) -> Map<Arc<str>, Standing> {
         let all = self.members.values().chain([&self.own]);
         let standing = |member: &Member| (member.key(), self.standing(now, &member.name));
         all.map(standing).collect()
     }
 
-    /// When a member may be preferred as an owner: it must have seen itself in the list, waited for
-    /// its shares to grow, and been heard of. Those that this instance learnt of at its own start
-    /// count as older than itself.
+    /// When a member may be preferred as an owner. By then it has read the published list with
+    /// itself in it, its connection shares have grown, and other instances have learned of it.
+    /// Members that this instance learned of during its own start count as settled from the moment
+    /// they became known.
     fn settled_at(&self, member: &Member) -> Instant {
         let own = &self.own;
-        let start = own.joined + self.timing.grace;
-        if member.joined < start && member.name != own.name {
-            return member.joined;
+        let own_grace_end = own.generation_known_at + self.timing.grace;
+        if member.generation_known_at < own_grace_end && member.name != own.name {
+            return member.generation_known_at;
         }
-        member.joined + self.timing.grace + self.timing.probe
+        member.generation_known_at + self.timing.grace + self.timing.probe
     }
 
     /// When the next member becomes settled.
@@ -349,24 +373,26 @@
     }
 }
 
-/// The members that an instance probes: the next [`ANYWHERE`] after it on the ring of hashes, and then
-/// the next ones of its own zone.
+/// The members that an instance probes: the next [`PROBED_IN_ANY_ZONE`] after it on the hash ring,
+/// then the next ones in its own zone.
 ///
-/// Probes are the larger part of what an idle fleet sends, and those to other zones are paid for by the
-/// byte. Those on the ring of all may stand anywhere: the loss of a whole zone is found out from the
-/// others.
-fn successors<'a>(own: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<Arc<str>> {
-    let place = |name: &str| hash::of(&[b"ring", name.as_bytes()]);
-    let start = place(&own.name);
+/// Probes are most of the traffic of an idle fleet, and traffic between zones is billed by the
+/// byte. The first ones may be in any zone so that the loss of a whole zone is detected from other
+/// zones.
+fn ring_successors<'a>(own: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<Arc<str>> {
+    let ring_hash = |name: &str| hash::of(&[b"ring", name.as_bytes()]);
+    let own_hash = ring_hash(&own.name);
     let mut ring: Vec<_> =
-        members.map(|member| (place(&member.name).wrapping_sub(start), member)).collect();
-    ring.sort_unstable_by_key(|(place, member)| (*place, &member.name));
-    let near = ring.iter().map(|(_, member)| *member).filter(|member| member.zone == own.zone);
-    let mut chosen: Vec<&Member> = ring.iter().take(ANYWHERE).map(|(_, member)| *member).collect();
-    for member in near.chain(ring.iter().map(|(_, member)| *member)) {
-        if chosen.len() < NEIGHBOURS && !chosen.iter().any(|other| other.name == member.name) {
-            chosen.push(member);
+        members.map(|member| (ring_hash(&member.name).wrapping_sub(own_hash), member)).collect();
+    ring.sort_unstable_by_key(|(distance, member)| (*distance, &member.name));
+    let same_zone = ring.iter().map(|(_, member)| *member).filter(|member| member.zone == own.zone);
+    let mut probed: Vec<&Member> =
+        ring.iter().take(PROBED_IN_ANY_ZONE).map(|(_, member)| *member).collect();
+    for member in same_zone.chain(ring.iter().map(|(_, member)| *member)) {
+        if probed.len() < PROBED_SUCCESSORS && !probed.iter().any(|other| other.name == member.name)
+        {
+            probed.push(member);
         }
     }
-    chosen.into_iter().map(|member| Arc::clone(&member.name)).collect()
+    probed.into_iter().map(|member| Arc::clone(&member.name)).collect()
 }
--- a/crates/core/src/control/membership/hearsay.rs
+++ b/crates/core/src/control/membership/hearsay.rs
@@ -1,74 +1,75 @@
-//! What peers say of members.
+//! Gossip updates received from peers.
 
 use std::sync::Arc;
 
 use ladder_schema::wire::{Liveness, Rumour};
 
-use super::{Member, Membership, Why};
+use super::{Evidence, Member, Membership};
 use crate::time::Instant;
 
 impl Membership {
-    /// Takes in what a peer holds true of a member.
+    /// Processes a gossip update of a peer: the state of a member as that peer knows it.
     pub fn rumour(&mut self, now: Instant, rumour: &Rumour) {
         if rumour.name == *self.own.name {
             self.refute(rumour);
             return;
         }
         let Some(member) = self.members.get_mut(rumour.name.as_str()) else {
-            self.introduce(now, rumour);
+            self.add_unknown_member(now, rumour);
             return;
         };
-        if !member.is_beaten_by(rumour) {
+        if !member.is_superseded_by(rumour) {
             return;
         }
-        let was = member.clone();
-        member.accept(now, rumour);
-        let is_news = was.liveness != member.liveness || was.generation > 0;
-        // A refutation may tell of another address or zone too, which views list.
-        if !was.stands_as(member) {
+        let before = member.clone();
+        member.apply_update(now, rumour);
+        let is_new_to_peers = before.liveness != member.liveness || before.generation > 0;
+        // A refutation may also carry a new address or zone, which views contain.
+        if !before.is_equivalent_in_views(member) {
             self.note_change();
         }
-        if is_news {
-            self.rumours.push(&rumour.name.as_str().into());
+        if is_new_to_peers {
+            self.gossip.push(&rumour.name.as_str().into());
         }
     }
 
-    fn introduce(&mut self, now: Instant, rumour: &Rumour) {
+    fn add_unknown_member(&mut self, now: Instant, rumour: &Rumour) {
         if rumour.liveness() != Liveness::Alive || rumour.address.is_empty() {
             return;
         }
         let name: Arc<str> = rumour.name.as_str().into();
-        let mut member = Member::new(&name, now, Why::Rumour);
-        member.accept(now, rumour);
+        let mut member = Member::new(&name, now, Evidence::PeerReport);
+        member.apply_update(now, rumour);
         self.members.insert(Arc::clone(&name), member);
-        self.rumours.push(&name);
+        self.gossip.push(&name);
         self.note_change();
     }
 
-    /// A member that hears itself suspected or held dead says with a raised refutation that it is
-    /// not, which beats every rumour of the suspicion.
+    /// Refutes a gossip update that this instance is suspected or dead: raises its refutation,
+    /// which supersedes every update of that suspicion.
     fn refute(&mut self, rumour: &Rumour) {
         if rumour.generation > self.own.generation {
-            self.outlive(rumour);
+            self.supersede_previous_life(rumour);
             return;
         }
         if !matches!(rumour.liveness(), Liveness::Suspect | Liveness::Dead) {
             return;
         }
-        let same = rumour.generation == self.own.generation;
-        if same && rumour.refutation >= self.own.refutation {
+        let same_generation = rumour.generation == self.own.generation;
+        if same_generation && rumour.refutation >= self.own.refutation {
             self.own.refutation = rumour.refutation.saturating_add(1);
         }
-        self.rumours.push(&self.own.name);
+        self.gossip.push(&self.own.name);
     }
 
-    /// Puts this life above an earlier one of its name.
+    /// Raises the generation of this instance above that of an earlier process with its name.
     ///
-    /// The failure: the time of day is set back and the instance restarts. Its incarnation is lower
-    /// than its predecessor's; peers that still know that one would hold this one dead and tell it
-    /// nothing until they forget it. Only the process that listens at the address can be the
-    /// successor: under another address the name has been given to another instance.
-    fn outlive(&mut self, rumour: &Rumour) {
+    /// This is needed if the host's clock was set back before the instance restarted. Its
+    /// incarnation is then lower than its predecessor's: peers that still know the predecessor
+    /// would consider this instance dead and send it nothing until they forget it. Only a process
+    /// that listens at the same address can be the successor; with another address the name has
+    /// been given to another instance, and the update is ignored.
+    fn supersede_previous_life(&mut self, rumour: &Rumour) {
         if *rumour.address != *self.own.address {
             return;
         }
@@ -77,7 +78,7 @@
         };
         self.own.generation = generation;
         self.own.refutation = 0;
-        self.rumours.push(&self.own.name);
+        self.gossip.push(&self.own.name);
         self.note_change();
     }
 }
--- a/crates/core/src/control/membership/member.rs
+++ b/crates/core/src/control/membership/member.rs
@@ -7,28 +7,28 @@
 
 use crate::time::Instant;
 
-/// What a member's liveness rests on.
+/// Evidence that a member's liveness is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(displaydoc::Display)]
-pub enum Why {
-    /// It is this instance.
-    Own,
-    /// The platform lists it; nothing was heard of it.
+pub enum Evidence {
+    /// This instance itself.
+    ThisInstance,
+    /// Listed by the platform; no frame received yet.
     Published,
-    /// A frame of it came.
-    Heard,
-    /// A peer said so.
-    Rumour,
+    /// A frame of it was received.
+    FrameReceived,
+    /// Reported by a peer.
+    PeerReport,
     /// It did not answer probes.
     Silent,
     /// The link to it broke.
     LinkDown,
-    /// Most links broke at once: the fault is this instance's.
-    OwnFault,
+    /// Most links broke at once: the network fault is this instance's own.
+    OwnNetworkFault,
     /// Nothing refuted the suspicion in time.
     Unrefuted,
-    /// It was held dead and spoke again; it has yet to refute.
-    Returned,
+    /// It was considered dead and sent a frame again; it has yet to refute.
+    SeenAgain,
 }
 
 /// One member of the fleet.
@@ -36,40 +36,42 @@
 pub struct Member {
     /// Unique name.
     pub name: Arc<str>,
-    /// IP number and port of its peer socket.
+    /// IP address and port of the member's peer socket.
     pub address: Arc<str>,
     /// Availability zone.
     pub zone: Arc<str>,
-    /// Thousandths of a processor core that it may use; 0 while that is not known.
+    /// Processor capacity that the member may use, in thousandths of a core; 0 while it is not
+    /// known.
     pub millicores: u32,
-    /// Orders its lives; 0 while nothing was heard of it. It is the incarnation of its process,
-    /// unless peers knew a higher one of its name when it started.
+    /// Orders the process lives of a member; 0 while only the published list names it. The
+    /// generation is the incarnation of the member's process, unless peers already knew a higher
+    /// generation under its name when the process started.
     ///
-    /// Invariant: never shrinks.
+    /// Invariant: never decreases.
     pub generation: u64,
-    /// Raised by the member itself to refute a suspicion.
+    /// Counter that the member itself increases to refute a suspicion.
     ///
-    /// Invariant: never shrinks within a generation.
+    /// Invariant: never decreases within a generation.
     pub refutation: u32,
-    /// Whether it is held alive.
+    /// Whether the member is considered alive, suspected, dead or leaving.
     ///
     /// Invariant: leaving is final for a generation.
     pub liveness: Liveness,
     /// When the liveness last changed.
-    pub since: Instant,
-    /// What the liveness rests on.
-    pub why: Why,
-    /// When this generation became known.
-    pub joined: Instant,
-    /// When the last frame of it came.
-    pub heard: Option<Instant>,
-    /// Its state in the published list, if it is in there.
-    pub published: Option<State>,
+    pub liveness_since: Instant,
+    /// Evidence that the liveness is based on.
+    pub why: Evidence,
+    /// When this instance first learned of the member's current generation.
+    pub generation_known_at: Instant,
+    /// When the last frame of the member was received.
+    pub last_frame_at: Option<Instant>,
+    /// The member's state in the published list; `None` if it is not listed.
+    pub published_state: Option<State>,
 }
 
 impl Member {
-    /// A member held alive.
-    pub(super) fn new(name: &Arc<str>, now: Instant, why: Why) -> Self {
+    /// Creates a member considered alive.
+    pub(super) fn new(name: &Arc<str>, now: Instant, why: Evidence) -> Self {
         Self {
             name: Arc::clone(name),
             address: "".into(),
@@ -78,41 +80,41 @@
             generation: 0,
             refutation: 0,
             liveness: Liveness::Alive,
-            since: now,
+            liveness_since: now,
             why,
-            joined: now,
-            heard: None,
-            published: None,
+            generation_known_at: now,
+            last_frame_at: None,
+            published_state: None,
         }
     }
 
-    /// Its name, for use as a key.
+    /// The member's name, for use as a map key.
     pub(super) fn key(&self) -> Arc<str> {
         Arc::clone(&self.name)
     }
 
-    /// Neither dead nor leaving.
+    /// Whether the member is neither dead nor leaving.
     pub(super) fn is_reachable(&self) -> bool {
         matches!(self.liveness, Liveness::Alive | Liveness::Suspect)
     }
 
-    /// Whether views and the ring of probes take both alike.
-    pub(super) fn stands_as(&self, other: &Self) -> bool {
-        let standing = |member: &Self| (member.liveness, member.generation);
-        standing(self) == standing(other)
+    /// Whether views and the probe ring would treat both states of the member the same.
+    pub(super) fn is_equivalent_in_views(&self, other: &Self) -> bool {
+        let state = |member: &Self| (member.liveness, member.generation);
+        state(self) == state(other)
             && self.address == other.address
             && self.zone == other.zone
             && self.millicores == other.millicores
     }
 
-    /// Changes the liveness.
-    pub(super) fn turn(&mut self, now: Instant, liveness: Liveness, why: Why) {
+    /// Sets the liveness, when it changed and the evidence for it.
+    pub(super) fn set_liveness(&mut self, now: Instant, liveness: Liveness, why: Evidence) {
         self.liveness = liveness;
-        self.since = now;
+        self.liveness_since = now;
         self.why = why;
     }
 
-    /// What this instance holds true of it.
+    /// The state of the member as this instance knows it, for sending to peers.
     pub fn as_rumour(&self) -> Rumour {
         Rumour {
             name: self.name.to_string(),
@@ -125,24 +127,24 @@
         }
     }
 
-    /// Whether a rumour says something newer: a higher generation, then leaving, then a higher
-    /// refutation, then the worse liveness.
-    pub(super) fn is_beaten_by(&self, rumour: &Rumour) -> bool {
-        let heard = (
+    /// Whether a gossip update is newer than the known state. The order is: the higher generation,
+    /// then leaving, then the higher refutation, then the worse liveness.
+    pub(super) fn is_superseded_by(&self, rumour: &Rumour) -> bool {
+        let received = (
             rumour.generation,
             rumour.liveness() == Liveness::Leaving,
             rumour.refutation,
             rumour.liveness(),
         );
-        let held =
+        let known =
             (self.generation, self.liveness == Liveness::Leaving, self.refutation, self.liveness);
-        rumour.liveness() != Liveness::Unspecified && heard > held
+        rumour.liveness() != Liveness::Unspecified && received > known
     }
 
-    /// Takes a rumour over.
-    pub(super) fn accept(&mut self, now: Instant, rumour: &Rumour) {
+    /// Replaces the known state with that of a gossip update.
+    pub(super) fn apply_update(&mut self, now: Instant, rumour: &Rumour) {
         if self.generation > 0 && self.generation < rumour.generation {
-            self.joined = now;
+            self.generation_known_at = now;
         }
         self.generation = rumour.generation;
         self.refutation = rumour.refutation;
@@ -152,7 +154,7 @@
             self.millicores = rumour.millicores;
         }
         if self.liveness != rumour.liveness() {
-            self.turn(now, rumour.liveness(), Why::Rumour);
+            self.set_liveness(now, rumour.liveness(), Evidence::PeerReport);
         }
     }
 }
--- a/crates/core/src/control/membership/queue.rs
+++ b/crates/core/src/control/membership/queue.rs
@@ -1,89 +1,96 @@
-//! Rumours still to be told.
+//! Queue of gossip updates that are still to be sent.
 
 use std::sync::Arc;
 
-/// Rumours in one frame.
-pub(super) const PER_FRAME: usize = 16;
-/// Tellings of a rumour, times the binary logarithm of the fleet's size. One telling per doubling
-/// would reach everyone if each reached someone new; the factor pays for the overlap and for loss.
-const TELLINGS: u32 = 3;
-/// How often the instances of a zone tell a rumour to other zones, together, for each time that one
-/// instance tells it at all.
-const FAR_TELLINGS: u32 = 2;
+/// Number of gossip updates in one frame.
+pub(super) const UPDATES_PER_FRAME: usize = 16;
+/// How often one instance sends a gossip update, as a factor of the binary logarithm of the fleet
+/// size. A factor of 1 would reach every instance only if each transmission reached a new one; the
+/// rest compensates for overlap and lost frames.
+const TRANSMITS_PER_DOUBLING: u32 = 3;
+/// How often all instances of a zone together send a gossip update to other zones, for each time
+/// that one instance sends the update at all.
+const CROSS_ZONE_TRANSMITS: u32 = 2;
 
-/// How large the fleet is that rumours are told to.
+/// Number of instances that gossip updates must reach.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Size {
-    /// All instances.
+pub(super) struct GossipScope {
+    /// Number of instances in the fleet.
     pub(super) fleet: usize,
-    /// Those of this instance's zone, itself included; at least 1.
+    /// Number of instances in this instance's zone, itself included; at least 1.
     pub(super) zone: usize,
 }
 
-impl Size {
-    /// Tellings of a rumour by one instance.
-    fn tellings(self) -> u32 {
-        TELLINGS * (usize::BITS - self.fleet.leading_zeros())
+impl GossipScope {
+    /// How often one instance sends a gossip update.
+    fn transmit_limit(self) -> u32 {
+        TRANSMITS_PER_DOUBLING * (usize::BITS - self.fleet.leading_zeros())
     }
 
-    /// Tellings of a rumour to other zones by one instance.
+    /// How often one instance sends a gossip update to other zones.
     ///
-    /// What crosses between zones is paid for by the byte. A zone of dozens that all tell everything to
-    /// random peers tells every other zone the same hundreds of times; in a zone of one or two each
-    /// still tells it as often as any.
-    fn far_tellings(self) -> u32 {
+    /// Traffic between zones is billed by the byte. If each of dozens of instances in a zone sent
+    /// every update to random peers, every other zone would receive it hundreds of times. In a
+    /// zone of one or two instances each sends the update to other zones as often as at all.
+    fn cross_zone_transmit_limit(self) -> u32 {
         let zone = u32::try_from(self.zone).unwrap_or(u32::MAX).max(1);
-        (self.tellings() * FAR_TELLINGS).div_ceil(zone).min(self.tellings())
+        (self.transmit_limit() * CROSS_ZONE_TRANSMITS).div_ceil(zone).min(self.transmit_limit())
     }
 }
 
-/// A member whose state is to be told.
+/// A member whose state is to be sent to peers.
 #[derive(Clone, Debug)]
-struct Topic {
+struct QueuedUpdate {
     name: Arc<str>,
-    told: u32,
-    /// Those of `told` that went to other zones.
-    far: u32,
+    transmits: u32,
+    /// How many of `transmits` went to other zones.
+    cross_zone_transmits: u32,
 }
 
-/// Members whose state is to be told, with how often it was.
+/// Members whose state is to be sent to peers, with the number of transmissions so far.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Queue {
-    /// Invariant: each name stands once, the least told first.
-    topics: Vec<Topic>,
+pub(super) struct GossipQueue {
+    /// Invariant: contains each name once, in order of transmissions, fewest first.
+    updates: Vec<QueuedUpdate>,
 }
 
-impl Queue {
-    /// Tells the state of a member from now on, as often as a new rumour.
+impl GossipQueue {
+    /// Queues the state of a member to be sent as often as a new gossip update.
     pub(super) fn push(&mut self, name: &Arc<str>) {
-        self.topics.retain(|topic| topic.name != *name);
-        self.topics.insert(0, Topic { name: Arc::clone(name), told: 0, far: 0 });
+        self.updates.retain(|update| update.name != *name);
+        self.updates.insert(
+            0,
+            QueuedUpdate { name: Arc::clone(name), transmits: 0, cross_zone_transmits: 0 },
+        );
     }
 
-    /// Something is left to tell in the own zone.
+    /// Whether no update is left to send within this instance's zone.
     pub(super) const fn is_empty(&self) -> bool {
-        self.topics.is_empty()
+        self.updates.is_empty()
     }
 
-    /// Something is left to tell in other zones.
-    pub(super) fn has_far(&self, size: Size) -> bool {
-        let most = size.far_tellings();
-        self.topics.iter().any(|topic| topic.far < most)
+    /// Whether some update is left to send to other zones.
+    pub(super) fn has_cross_zone(&self, scope: GossipScope) -> bool {
+        let limit = scope.cross_zone_transmit_limit();
+        self.updates.iter().any(|update| update.cross_zone_transmits < limit)
     }
 
-    /// Names for one frame to a peer, which may be in another zone, counted as told.
-    pub(super) fn take(&mut self, size: Size, far: bool) -> Vec<Arc<str>> {
-        let most_far = if far { size.far_tellings() } else { u32::MAX };
-        let topics = self.topics.iter_mut().filter(|topic| topic.far < most_far);
-        let names = topics.take(PER_FRAME).map(|topic| {
-            topic.told += 1;
-            topic.far += u32::from(far);
-            Arc::clone(&topic.name)
+    /// Takes member names for one frame to a peer and counts them as sent. `cross_zone`: the peer
+    /// is in another zone.
+    pub(super) fn take(&mut self, scope: GossipScope, cross_zone: bool) -> Vec<Arc<str>> {
+        let cross_zone_limit =
+            if cross_zone { scope.cross_zone_transmit_limit() } else { u32::MAX };
+        let updates =
+            self.updates.iter_mut().filter(|update| update.cross_zone_transmits < cross_zone_limit);
+        let names = updates.take(UPDATES_PER_FRAME).map(|update| {
+            update.transmits += 1;
+            update.cross_zone_transmits += u32::from(cross_zone);
+            Arc::clone(&update.name)
         });
         let names = names.collect();
-        let most = size.tellings();
-        self.topics.retain(|topic| topic.told < most);
-        self.topics.sort_by_key(|topic| topic.told);
+        let limit = scope.transmit_limit();
+        self.updates.retain(|update| update.transmits < limit);
+        self.updates.sort_by_key(|update| update.transmits);
         names
     }
 }
--- a/crates/core/src/control/membership/suspicion.rs
+++ b/crates/core/src/control/membership/suspicion.rs
@@ -1,15 +1,15 @@
-//! Suspicion and death by silence and broken links.
+//! Suspicion and death of members by silence and broken links.
 
 use std::sync::Arc;
 
 use ladder_schema::wire::Liveness;
 
-use super::watch::Blame;
-use super::{Member, Membership, Why};
+use super::watch::LinkFault;
+use super::{Evidence, Member, Membership};
 use crate::time::Instant;
 
 impl Membership {
-    /// Takes in that the link to a member broke.
+    /// Processes the loss of the link to a member.
     pub fn link_down(&mut self, now: Instant, name: &str) {
         let reachable = self.reachable().count();
         let Some(member) = self.members.get(name) else {
@@ -19,60 +19,65 @@
             return;
         }
         let key = member.key();
-        match self.watch.link_broke(now, &key, reachable, self.timing) {
-            Blame::Peer => self.turn(now, &key, Liveness::Suspect, Why::LinkDown),
-            Blame::Own => self.withdraw(now),
+        match self.detector.classify_link_loss(now, &key, reachable, self.timing) {
+            LinkFault::Peer => self.set_liveness(now, &key, Liveness::Suspect, Evidence::LinkDown),
+            LinkFault::Own => self.withdraw_link_suspicions(now),
         }
     }
 
-    /// Takes back the suspicions that rest on links that this instance itself lost.
-    fn withdraw(&mut self, now: Instant) {
-        let on_link =
-            |member: &&Member| member.liveness == Liveness::Suspect && member.why == Why::LinkDown;
-        let names: Vec<_> = self.members.values().filter(on_link).map(Member::key).collect();
+    /// Withdraws the suspicions based on links that broke because of this instance's own network
+    /// fault.
+    fn withdraw_link_suspicions(&mut self, now: Instant) {
+        let is_link_suspicion = |member: &&Member| {
+            member.liveness == Liveness::Suspect && member.why == Evidence::LinkDown
+        };
+        let names: Vec<_> =
+            self.members.values().filter(is_link_suspicion).map(Member::key).collect();
         for name in names {
-            self.turn(now, &name, Liveness::Alive, Why::OwnFault);
+            self.set_liveness(now, &name, Liveness::Alive, Evidence::OwnNetworkFault);
         }
     }
 
-    /// After a suspension every silence may be this instance's own: start to count anew.
+    /// Restarts all silence and suspicion periods after a process pause, because this instance may
+    /// itself have caused every silence.
     pub fn resumed(&mut self, now: Instant) {
-        self.watch.resumed(now);
+        self.detector.resumed(now);
         for member in self.members.values_mut() {
             if member.liveness == Liveness::Suspect {
-                member.since = now;
+                member.liveness_since = now;
             }
         }
     }
 
-    /// Lets time pass: suspicions, deaths, what may be forgotten.
+    /// Advances time: raises suspicions, declares suspects dead and forgets expired members.
     pub fn tick(&mut self, now: Instant) {
-        if self.watch.overslept(now, self.timing) {
+        if self.detector.tick_is_late(now, self.timing) {
             self.resumed(now);
         }
-        self.refresh_ring(now);
-        for name in self.watch.suspects(now, &self.members, self.timing) {
-            self.turn(now, &name, Liveness::Suspect, Why::Silent);
+        self.refresh_probe_ring(now);
+        for name in self.detector.newly_silent(now, &self.members, self.timing) {
+            self.set_liveness(now, &name, Liveness::Suspect, Evidence::Silent);
         }
-        if self.watch.is_held(now, self.timing) {
+        if self.detector.withholds_suspicions(now, self.timing) {
             return;
         }
         let dead = self.timing.dead;
         let expired = |member: &&Member| {
-            member.liveness == Liveness::Suspect && now.since(member.since) >= dead
+            member.liveness == Liveness::Suspect && now.since(member.liveness_since) >= dead
         };
-        let gone: Vec<_> = self.members.values().filter(expired).map(Member::key).collect();
-        for name in gone {
-            self.turn(now, &name, Liveness::Dead, Why::Unrefuted);
+        let expired_names: Vec<_> =
+            self.members.values().filter(expired).map(Member::key).collect();
+        for name in expired_names {
+            self.set_liveness(now, &name, Liveness::Dead, Evidence::Unrefuted);
         }
-        self.forget(now);
-        self.refresh_ring(now);
+        self.forget_expired(now);
+        self.refresh_probe_ring(now);
     }
 
-    fn turn(&mut self, now: Instant, name: &Arc<str>, liveness: Liveness, why: Why) {
+    fn set_liveness(&mut self, now: Instant, name: &Arc<str>, liveness: Liveness, why: Evidence) {
         if let Some(member) = self.members.get_mut(name) {
-            member.turn(now, liveness, why);
-            self.rumours.push(name);
+            member.set_liveness(now, liveness, why);
+            self.gossip.push(name);
             self.note_change();
         }
     }
--- a/crates/core/src/control/membership/watch.rs
+++ b/crates/core/src/control/membership/watch.rs
@@ -1,4 +1,4 @@
-//! Silence of the probed neighbours, and when it is this instance's own fault.
+//! Detects silent neighbours, and when the cause is this instance's own fault.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,43 +9,49 @@
 use crate::control::settings::Timing;
 use crate::time::Instant;
 
-/// Whose fault a broken link is.
+/// Which end is at fault for a broken link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Blame {
-    /// The peer's.
+pub(super) enum LinkFault {
+    /// The peer.
     Peer,
-    /// This instance's.
+    /// This instance.
     Own,
 }
 
-/// Suspicions are withheld.
+/// A period during which suspicions are withheld.
 #[derive(Clone, Copy, Debug)]
-struct Hold {
+struct SuspicionHold {
     since: Instant,
-    /// A frame has come since.
-    answered: bool,
+    /// Whether a frame of any peer has been received since the hold began.
+    frame_received: bool,
 }
 
-/// Which neighbours are silent, and whether that can be believed.
+/// Tracks which probed neighbours are silent, and whether their silence is reliable evidence.
 #[derive(Clone, Debug)]
-pub(super) struct Watch {
-    /// Probed members with the time from which their silence counts.
+pub(super) struct FailureDetector {
+    /// Probed members, each with the time from which its silence counts.
     neighbours: BTreeMap<Arc<str>, Instant>,
-    /// Silence of most neighbours at once, or a suspension, puts the blame on this instance: its
-    /// link is down or it did not run. It shows as a flood of suspects. No suspicion is raised
-    /// until a frame proves that others can be heard, or a full window has passed in which this
-    /// instance did run.
-    hold: Option<Hold>,
-    /// Members whose link broke within the last window. Named, as one lost peer may be dialled and
-    /// lost many times.
-    broken: BTreeMap<Arc<str>, Instant>,
+    /// Set while suspicions are withheld. If most neighbours are silent at once, or after a
+    /// process pause, the cause is this instance: its network is down or it did not run. The
+    /// failure shows as many simultaneous suspects. No suspicion is raised until a received frame
+    /// proves that this instance receives again, or until a full suspicion period has passed
+    /// during which this instance ran.
+    hold: Option<SuspicionHold>,
+    /// Members whose link broke within the last suspicion period, with the time. Kept by name,
+    /// because a crashed peer may be dialled and lost many times.
+    broken_links: BTreeMap<Arc<str>, Instant>,
     last_tick: Instant,
 }
 
-impl Watch {
-    /// Watches nobody yet.
+impl FailureDetector {
+    /// Creates a detector that watches no member yet.
     pub(super) const fn new(now: Instant) -> Self {
-        Self { neighbours: BTreeMap::new(), hold: None, broken: BTreeMap::new(), last_tick: now }
+        Self {
+            neighbours: BTreeMap::new(),
+            hold: None,
+            broken_links: BTreeMap::new(),
+            last_tick: now,
+        }
     }
 
     /// Names of the probed members.
@@ -53,7 +59,8 @@
         self.neighbours.keys()
     }
 
-    /// Probes these members from now on; for those probed already, silence counts on.
+    /// Sets the members to probe. The silence of members that were already probed continues to
+    /// count.
     pub(super) fn set_neighbours(&mut self, now: Instant, names: Vec<Arc<str>>) {
         let old = std::mem::take(&mut self.neighbours);
         for name in names {
@@ -62,84 +69,89 @@
         }
     }
 
-    /// A frame of some peer came.
-    pub(super) const fn answered(&mut self) {
+    /// Records that a frame of some peer was received.
+    pub(super) const fn note_frame(&mut self) {
         if let Some(hold) = &mut self.hold {
-            hold.answered = true;
+            hold.frame_received = true;
         }
     }
 
-    /// Counts all silences from now and withholds suspicions.
+    /// Restarts all silence periods now and withholds suspicions.
     pub(super) fn resumed(&mut self, now: Instant) {
         for since in self.neighbours.values_mut() {
             *since = now;
         }
-        self.broken.clear();
-        self.hold = Some(Hold { since: now, answered: false });
+        self.broken_links.clear();
+        self.hold = Some(SuspicionHold { since: now, frame_received: false });
         self.last_tick = now;
     }
 
-    /// Whether this tick comes so late that this instance cannot have listened meanwhile.
-    pub(super) fn overslept(&mut self, now: Instant, timing: Timing) -> bool {
+    /// Whether this tick is so late that this instance cannot have received frames in the
+    /// meantime.
+    pub(super) fn tick_is_late(&mut self, now: Instant, timing: Timing) -> bool {
         let gap = now.since(self.last_tick);
         self.last_tick = now;
         gap > timing.probe * 2 + timing.suspect / 2
     }
 
-    /// Whether suspicions are withheld.
-    pub(super) fn is_held(&mut self, now: Instant, timing: Timing) -> bool {
+    /// Whether suspicions are withheld; ends the hold if its condition is met.
+    pub(super) fn withholds_suspicions(&mut self, now: Instant, timing: Timing) -> bool {
         let Some(hold) = self.hold else {
             return false;
         };
-        if hold.answered || now.since(hold.since) >= timing.suspect {
+        if hold.frame_received || now.since(hold.since) >= timing.suspect {
             self.hold = None;
         }
         self.hold.is_some()
     }
 
-    /// Neighbours to suspect now.
-    pub(super) fn suspects(
+    /// The neighbours to suspect now.
+    pub(super) fn newly_silent(
         &mut self,
         now: Instant,
         members: &BTreeMap<Arc<str>, Member>,
         timing: Timing,
     ) -> Vec<Arc<str>> {
         let silent = |(name, since): &(&Arc<str>, &Instant)| {
-            let heard = members.get(*name).and_then(|member| member.heard);
-            let from = heard.map_or(**since, |heard| heard.max(**since));
+            let last_frame_at = members.get(*name).and_then(|member| member.last_frame_at);
+            let from = last_frame_at.map_or(**since, |last_frame_at| last_frame_at.max(**since));
             now.since(from) >= timing.suspect
         };
         let names = self.neighbours.iter().filter(silent).map(|(name, _)| name);
         let silent: Vec<Arc<str>> = names.cloned().collect();
-        let flood = silent.len() >= 2 && silent.len() * 2 > self.neighbours.len();
+        let is_majority = silent.len() >= 2 && silent.len() * 2 > self.neighbours.len();
         let fresh: Vec<_> = silent.into_iter().filter(|name| is_alive(members, name)).collect();
         if fresh.is_empty() {
             return fresh;
         }
         let was_held = self.hold.is_some();
-        if self.is_held(now, timing) {
+        if self.withholds_suspicions(now, timing) {
             return Vec::new();
         }
-        if flood && !was_held {
-            self.hold = Some(Hold { since: now, answered: false });
+        if is_majority && !was_held {
+            self.hold = Some(SuspicionHold { since: now, frame_received: false });
             return Vec::new();
         }
         fresh
     }
 
-    /// Whose fault a broken link is: this instance's while suspicions are withheld, and when most
-    /// links break within one window.
-    pub(super) fn link_broke(
+    /// Which end is at fault for a broken link. This instance is while suspicions are withheld,
+    /// and if most links break within one suspicion period.
+    pub(super) fn classify_link_loss(
         &mut self,
         now: Instant,
         name: &Arc<str>,
         reachable: usize,
         timing: Timing,
-    ) -> Blame {
-        self.broken.retain(|_, at| now.since(*at) <= timing.suspect);
-        self.broken.insert(Arc::clone(name), now);
-        let flood = self.broken.len() >= 2 && self.broken.len() * 2 > reachable;
-        if flood || self.is_held(now, timing) { Blame::Own } else { Blame::Peer }
+    ) -> LinkFault {
+        self.broken_links.retain(|_, at| now.since(*at) <= timing.suspect);
+        self.broken_links.insert(Arc::clone(name), now);
+        let is_majority = self.broken_links.len() >= 2 && self.broken_links.len() * 2 > reachable;
+        if is_majority || self.withholds_suspicions(now, timing) {
+            LinkFault::Own
+        } else {
+            LinkFault::Peer
+        }
     }
 }
 
--- a/crates/core/src/control/placement.rs
+++ b/crates/core/src/control/placement.rs
@@ -1,21 +1,24 @@
-//! Which instances may work on a service, and how many connections each may hold to a server.
+//! Which instances may send work of a service to its servers, and how many connections each may
+//! hold to a server.
 //!
 //! Both follow from the published list of instances alone. Membership, which differs between
-//! instances, only decides which candidate is the owner: a wrong owner costs a second queue, but
-//! never a connection above the limit.
+//! instances, only decides which candidate is the owner: a wrong owner causes a second queue, but
+//! never connections above a server's limit.
 //!
 //! # Bound
 //!
-//! Let a server's limit be `n`, a primary's share `p` and a spare's `s`. [`divide`] chooses them so
-//! that `(REACH + 1) * (p + s) <= n` and `p >= s`; a list has at most [`REACH`] primaries among
-//! [`CANDIDATES`] candidates, so its shares sum to at most `REACH * (p + s)`.
+//! Let a server's connection limit be `n`, the share of a primary candidate `p` and that of a
+//! spare candidate `s`. [`divide_limit`] chooses them so that `(MAX_PRIMARIES + 1) * (p + s) <= n`
+//! and `p >= s`. A list has at most [`MAX_PRIMARIES`] primaries among [`CANDIDATES`] candidates,
+//! so its shares sum to at most `MAX_PRIMARIES * (p + s)`.
 //!
-//! Instances whose lists differ hold together at most the sum, over all instances, of the larger
-//! of their two shares. Shares depend on the role alone, and removing, adding or replacing one
-//! instance within its zone brings in at most one primary and one spare. Two lists that differ by
-//! one such change therefore hold the limit together, and two that differ by `r` changes do if
-//! `(REACH + r) * (p + s) <= n`. Lists further apart may exceed it; the control machine therefore
-//! grows a share only after the list has been known for a while.
+//! Instances whose lists differ together hold at most the sum, over all instances, of the larger
+//! of their two shares. A share depends only on the candidate's role, and removing, adding or
+//! replacing one instance within its zone adds at most one primary and one spare. The shares of
+//! two lists that differ by one such change therefore stay within the limit together, and those of
+//! two lists that differ by `r` changes do if `(MAX_PRIMARIES + r) * (p + s) <= n`. Lists that
+//! differ more may exceed the limit; the control machine therefore increases a share only after
+//! the list has been known for a grace period.
 
 mod fleet;
 
@@ -23,19 +26,22 @@
 
 use super::hash;
 
-/// Zones whose best instance is a primary candidate of a service: 4 cover any loss of one zone,
-/// and a server is reached by a handful of instances however large the fleet is.
-pub const REACH: usize = 4;
-/// Candidates of a service, spares included.
-pub const CANDIDATES: usize = 2 * REACH;
-/// Parts of a limit: one for each primary with its spare, and one for a list that differs.
-const PLACES: u32 = REACH as u32 + 1;
-/// Connections beyond which a primary candidate gains nothing.
-const PRIMARY_CAP: u32 = 8;
-/// With direct placement one part in this many is kept for instances whose list is behind.
-const DIRECT_RESERVE: u32 = 5;
-/// The spares have together one part in this many of a server's connections.
-const SPARE_PART: u32 = 7;
+/// Number of zones whose best instance is a primary candidate of a service. 4 cover the loss of
+/// any one zone, and a server has connections from only a few instances however large the fleet
+/// is.
+pub const MAX_PRIMARIES: usize = 4;
+/// Number of candidates of a service, spares included.
+pub const CANDIDATES: usize = 2 * MAX_PRIMARIES;
+/// Number of equal parts of a connection limit: one for each primary with its spare, and one in
+/// reserve for instances whose list of instances differs.
+const LIMIT_PARTS: u32 = MAX_PRIMARIES as u32 + 1;
+/// Upper bound of a primary candidate's connections to one server; more gain nothing.
+const MAX_PRIMARY_SHARE: u32 = 8;
+/// With direct placement, one part in this many of a server's connections is reserved for
+/// instances whose list of instances is outdated.
+const DIRECT_RESERVE_DIVISOR: u32 = 5;
+/// The spare candidates together get one part in this many of a server's connections.
+const SPARE_DIVISOR: u32 = 7;
 
 /// A published instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,63 +55,70 @@
 /// Candidates of a service among the published instances, best first.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ranking {
-    /// Positions in the list of instances: the best of each zone, then the spares.
+    /// Positions of the candidates in the list of instances: the best of each zone, then the
+    /// spares.
     pub order: Vec<usize>,
-    /// How many of `order` are primary.
+    /// Number of primary candidates, the first ones in `order`.
     ///
-    /// Invariant: at most [`REACH`].
+    /// Invariant: at most [`MAX_PRIMARIES`].
     pub primaries: usize,
 }
 
 /// Ranks published instances for a service by rendezvous hashing.
 ///
-/// The best instance of each zone, for up to [`REACH`] zones in order of score, then the best of
-/// the rest up to [`CANDIDATES`]. An instance that leaves the list changes only the services that
-/// it was a candidate of.
+/// The ranking contains the best instance of each zone, for up to [`MAX_PRIMARIES`] zones in order
+/// of score, then the best of the other instances up to [`CANDIDATES`]. Removing an instance from
+/// the list changes only the services that it was a candidate of.
 pub fn rank(service: &str, fleet: &[Instance<'_>]) -> Ranking {
     Fleet::new(fleet.iter().copied()).rank(service)
 }
 
-/// Rendezvous score of an instance for a service; the highest wins.
+/// Rendezvous score of an instance for a service; the highest score ranks first.
 pub(super) fn score(service: &str, instance: &str) -> u64 {
     hash::of(&[service.as_bytes(), instance.as_bytes()])
 }
 
-/// Connections that a primary and a spare candidate may hold to one server.
+/// Number of connections that a primary and a spare candidate may each hold to one server.
 ///
-/// Invariant: `(REACH + 1) * (primary + spare)` fits into the server's limit, and a primary has no
-/// less than a spare.
+/// Invariant: `(MAX_PRIMARIES + 1) * (primary + spare)` does not exceed the server's limit, and a
+/// primary's share is not less than a spare's.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
-    /// Of a primary candidate.
+pub struct RoleShares {
+    /// Connections of a primary candidate.
     pub primary: u32,
-    /// How many primaries have it; under a limit too low for all, the others have none.
+    /// Number of primaries that get `primary` connections. If the limit is too low for all of
+    /// them, the others get none.
     pub primaries: usize,
-    /// Of a spare candidate.
+    /// Connections of a spare candidate.
     pub spare: u32,
 }
 
-/// Divides a server's connections, as if there were always [`REACH`] primaries and as many spares:
-/// a share must not grow because some other candidate is gone.
-pub fn divide(limit: u32) -> Share {
+/// Divides a server's connection limit as if there were always [`MAX_PRIMARIES`] primaries and as
+/// many spares, because a share must not grow when another candidate disappears.
+pub fn divide_limit(limit: u32) -> RoleShares {
     let spare = spare_share(limit);
-    let primary = (limit - PLACES * spare) / PLACES;
+    let primary = (limit - LIMIT_PARTS * spare) / LIMIT_PARTS;
     if primary > 0 {
-        return Share { primary: primary.min(PRIMARY_CAP), primaries: REACH, spare };
+        return RoleShares {
+            primary: primary.min(MAX_PRIMARY_SHARE),
+            primaries: MAX_PRIMARIES,
+            spare,
+        };
     }
-    Share { primary: 1, primaries: limit.saturating_sub(1) as usize, spare: 0 }
+    RoleShares { primary: 1, primaries: limit.saturating_sub(1) as usize, spare: 0 }
 }
 
-/// About a seventh of the limit for all spares, but at least one each if the primaries keep more.
+/// Share of each spare candidate: about a seventh of the limit for all of them, and at least one
+/// connection each if the primaries keep more than that each.
 fn spare_share(limit: u32) -> u32 {
-    let spare = (limit / SPARE_PART / PLACES).clamp(1, PRIMARY_CAP);
-    let rest = limit.saturating_sub(PLACES * spare);
-    if rest / PLACES > spare { spare } else { 0 }
+    let spare = (limit / SPARE_DIVISOR / LIMIT_PARTS).clamp(1, MAX_PRIMARY_SHARE);
+    let primaries_part = limit.saturating_sub(LIMIT_PARTS * spare);
+    if primaries_part / LIMIT_PARTS > spare { spare } else { 0 }
 }
 
-impl Share {
-    /// Connections of the candidate at `position` of a ranking with this many primaries.
-    pub const fn at(self, primaries: usize, position: usize) -> u32 {
+impl RoleShares {
+    /// Number of connections of the candidate at `position` in a ranking with this many primaries.
+    pub const fn for_position(self, primaries: usize, position: usize) -> u32 {
         if position >= primaries {
             return self.spare;
         }
@@ -116,73 +129,81 @@
     }
 }
 
-/// How many times as much of a service's limits an instance takes that stands near its servers, when
-/// such instances collect the parts of a sweep for the others.
+/// Weight of an instance in a zone of a service's servers when the service's limits are divided
+/// and such instances aggregate the parts of a sweep for the others. Any other instance has weight
+/// 1.
 ///
-/// The others ask the servers only while no peer collects for them. With equal parts, half of the
-/// retries that a service may have were never used on a deployment of four zones, and twice as many
-/// parts were refused for want of them while answers were lost.
-const NEAR: usize = 4;
-
-/// Into how many parts a limit is divided of which an instance takes one, so that all together take
-/// no more than the whole: `near` instances stand near the servers of a service, `far` ones do not.
-pub fn parts(near: usize, far: usize, is_near: bool) -> usize {
+/// The other instances send to the servers only while no peer aggregates for them. With equal
+/// weights on a deployment of four zones, half of a service's retry budget was never used, and
+/// while answers were lost twice as many parts were refused for lack of retries.
+const NEAR_WEIGHT: usize = 4;
+
+/// Divisor of a limit that gives the part of one instance, such that all instances together take
+/// no more than the whole limit. `near` instances are in a zone of the service's servers, `far`
+/// ones are not; `is_near` tells to which group the instance belongs.
+pub fn limit_divisor(near: usize, far: usize, is_near: bool) -> usize {
     if near == 0 || far == 0 {
         return near + far;
     }
-    let whole = NEAR * near + far;
-    if is_near { whole.div_ceil(NEAR) } else { whole }
+    let weighted_total = NEAR_WEIGHT * near + far;
+    if is_near { weighted_total.div_ceil(NEAR_WEIGHT) } else { weighted_total }
 }
 
-/// Connections that each of `instances` may hold to a server with this limit when the instances are
-/// counted and not published; at least one.
+/// Number of connections that each of `instances` may hold to a server with this limit when
+/// instances are counted from gossip instead of published; at least one.
 ///
-/// A server does not notice that the other end of a connection has lost its power. After a loss of
-/// all instances it still counts their connections while the same instances open new ones, and
-/// resets what goes beyond its limit. Shares that fill three quarters of the limit leave room for the
-/// new, as connections are opened only as work needs them. With half of it an instance that asks for
-/// all others had a connection for each slot and none for the call after it.
+/// A server does not notice that the other end of a connection has lost power. After a loss of all
+/// instances it still counts their old connections while the same instances open new ones, and
+/// resets those above its limit. Shares that add up to three quarters of the limit leave room for
+/// the new connections, because connections are opened only when work needs them. With half of the
+/// limit, an instance that sends the requests of all others had one connection per slot and none
+/// for the next call.
 pub fn observed_share(limit: u32, instances: usize) -> u32 {
     let instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
-    let most = limit * 3 / 4;
-    ((most + instances / 2) / instances).max(1)
+    let usable = limit * 3 / 4;
+    ((usable + instances / 2) / instances).max(1)
 }
 
-/// Whether three quarters of a server's connections are too few for each of `instances` to hold one
-/// for each of its slots.
+/// Whether three quarters of a server's connections are too few for each of `instances` to hold
+/// one connection per slot of the server.
 ///
-/// Then one instance asks the server for all, and who has no work for it holds no connection.
-pub fn is_scarce(limit: u32, slots: u32, instances: usize) -> bool {
+/// If so, one instance sends the requests of all others to the server, and instances without work
+/// for it hold no connection.
+pub fn is_short_of_connections(limit: u32, slots: u32, instances: usize) -> bool {
     u64::from(limit) * 3 / 4 < u64::from(slots) * instances as u64
 }
 
-/// Whether three quarters of a server's connections are enough for each of `instances` to hold one.
+/// Whether three quarters of a server's connections are enough for each of `instances` to hold one
+/// connection.
 ///
-/// Where they are not, connections that are kept without work take those of whoever has some: the servers
-/// reset what is beyond their limit, and it is opened again and again.
-pub fn is_enough(limit: u32, instances: usize) -> bool {
+/// If not, connections kept open without work would displace those of instances with work: the
+/// server resets connections above its limit, and they would be reopened again and again.
+pub fn allows_one_connection_each(limit: u32, instances: usize) -> bool {
     u64::from(limit) * 3 / 4 >= instances as u64
 }
 
-/// Connections that an instance may hold to a server which few ask for all; at least one.
+/// Number of connections that an instance may hold to a server to which few instances send the
+/// requests of all; at least one.
 ///
-/// Who asks follows from whom an instance has heard of. Views differ for a moment after a change, so
-/// the share is small enough that [`CANDIDATES`] instances together hold three quarters of the limit.
-pub fn asker_share(limit: u32) -> u32 {
+/// An instance decides whether it is one of them by the members it knows. Views differ briefly
+/// after a change, so the share is small enough that [`CANDIDATES`] instances together hold at
+/// most three quarters of the limit.
+pub fn single_asker_share(limit: u32) -> u32 {
     (limit * 3 / 4 / CANDIDATES as u32).max(1)
 }
 
-/// Connections that each of `instances` may hold to a server with this limit when every instance
-/// asks the servers itself.
+/// Number of connections that each of `instances` may hold to a server with this limit when every
+/// instance sends to the servers itself.
 ///
-/// Invariant: for lists of `n` and of `n + 1` instances, `n + 1` times the larger of the two shares
-/// fits into the limit, so that two lists one instance apart hold it together.
+/// Invariant: for lists of `n` and of `n + 1` instances, `n + 1` times the larger of the two
+/// shares does not exceed the limit, so that instances with two lists that differ by one instance
+/// hold no more than the limit together.
 pub fn direct_share(limit: u32, instances: usize) -> u32 {
     let instances = u32::try_from(instances).unwrap_or(u32::MAX);
     if instances == 0 || instances >= limit {
         return 0;
     }
-    let reserve = (limit / DIRECT_RESERVE).max(1);
-    let part = (limit - reserve) / instances;
-    part.min(reserve).max(1)
+    let reserve = (limit / DIRECT_RESERVE_DIVISOR).max(1);
+    let share = (limit - reserve) / instances;
+    share.min(reserve).max(1)
 }
--- a/crates/core/src/control/placement/fleet.rs
+++ b/crates/core/src/control/placement/fleet.rs
@@ -2,52 +2,54 @@
 
 use std::cmp::Reverse;
 
-use super::{CANDIDATES, Instance, REACH, Ranking};
+use super::{CANDIDATES, Instance, MAX_PRIMARIES, Ranking};
 use crate::collections::Map;
 use crate::control::hash::{self, Prefix};
 
-/// Best instances to keep: the primaries may be among them.
-const BEST: usize = CANDIDATES + REACH;
+/// Number of best-scored instances to keep, enough for all candidates even if the primaries are
+/// among them.
+const KEPT_INSTANCES: usize = CANDIDATES + MAX_PRIMARIES;
 
 /// Published instances, prepared for ranking many services.
 ///
-/// A restart ranks each service over the whole list, which at thousands of instances and tens of
-/// thousands of services is most of its cost. Names are therefore cut into words and zones
-/// numbered once, and one pass finds the best of each zone and of all.
+/// A restart ranks each service over the whole list. At thousands of instances and tens of
+/// thousands of services this is most of the restart's cost. Names are therefore split into words
+/// and zones numbered once, and one pass finds both the best instance of each zone and the best of
+/// all.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    instances: Vec<Prepared>,
-    /// Words of all names.
+    instances: Vec<PreparedInstance>,
+    /// Hash words of all names, concatenated.
     words: Vec<u64>,
     /// Number of different zones.
     zones: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Prepared {
-    /// Where the name's words begin and end.
-    words: (u32, u32),
-    /// Bytes of the name.
+struct PreparedInstance {
+    /// Start and end of the name's words in `Fleet::words`.
+    word_range: (u32, u32),
+    /// Length of the name in bytes.
     length: u64,
-    /// Number of its zone.
+    /// Number of the instance's zone.
     ///
-    /// Invariant: below the number of zones.
+    /// Invariant: less than `Fleet::zones`.
     zone: usize,
-    /// Place in the order of names.
-    place: u32,
+    /// Position of the instance in the order of names.
+    name_rank: u32,
 }
 
-/// An instance with its score; the best sorts first. Equal scores sort by name, as positions may
-/// differ between instances.
+/// An instance with its score; the best sorts first. Equal scores sort by name, because the
+/// position in the list may differ between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scored {
     score: Reverse<u64>,
-    place: u32,
+    name_rank: u32,
     at: usize,
 }
 
 impl Fleet {
-    /// Prepares a list.
+    /// Prepares a list of published instances.
     pub fn new<'a>(list: impl Iterator<Item = Instance<'a>>) -> Self {
         let mut fleet = Self::default();
         let mut zones: Map<&str, usize> = Map::default();
@@ -59,8 +61,8 @@
             fleet.push(instance.name, zone);
         }
         names.sort_unstable();
-        for (place, (_, at)) in names.into_iter().enumerate() {
-            fleet.instances[at].place = place as u32;
+        for (name_rank, (_, at)) in names.into_iter().enumerate() {
+            fleet.instances[at].name_rank = name_rank as u32;
         }
         fleet.zones = zones.len();
         fleet
@@ -69,11 +71,11 @@
     fn push(&mut self, name: &str, zone: usize) {
         let start = self.words.len() as u32;
         self.words.extend(hash::words(name.as_bytes()));
-        self.instances.push(Prepared {
-            words: (start, self.words.len() as u32),
+        self.instances.push(PreparedInstance {
+            word_range: (start, self.words.len() as u32),
             length: name.len() as u64,
             zone,
-            place: 0,
+            name_rank: 0,
         });
     }
 
@@ -81,44 +83,45 @@
     pub fn rank(&self, service: &str) -> Ranking {
         let (mut primaries, best) = self.best(service);
         primaries.sort_unstable();
-        primaries.truncate(REACH);
+        primaries.truncate(MAX_PRIMARIES);
         let spares = best.iter().filter(|scored| !primaries.contains(scored));
         let order = primaries.iter().chain(spares).take(CANDIDATES);
         Ranking { order: order.map(|scored| scored.at).collect(), primaries: primaries.len() }
     }
 
-    /// The best of each zone in no order, and the best of all in order.
+    /// Returns the best instance of each zone in no particular order, and the best of all
+    /// instances in order.
     fn best(&self, service: &str) -> (Vec<Scored>, Vec<Scored>) {
         let mut zones: Vec<Option<Scored>> = vec![None; self.zones];
-        let mut best: Vec<Scored> = Vec::with_capacity(BEST + 1);
+        let mut best: Vec<Scored> = Vec::with_capacity(KEPT_INSTANCES + 1);
         let prefix = Prefix::of(service.as_bytes());
-        let mut begun = (0, prefix.begin(0));
+        let mut length_prefix = (0, prefix.begin(0));
         for (at, instance) in self.instances.iter().enumerate() {
-            if begun.0 != instance.length {
-                begun = (instance.length, prefix.begin(instance.length));
+            if length_prefix.0 != instance.length {
+                length_prefix = (instance.length, prefix.begin(instance.length));
             }
-            let words = instance.words.0 as usize..instance.words.1 as usize;
+            let words = instance.word_range.0 as usize..instance.word_range.1 as usize;
             let new = Scored {
-                score: Reverse(begun.1.end(&self.words[words])),
-                place: instance.place,
+                score: Reverse(length_prefix.1.end(&self.words[words])),
+                name_rank: instance.name_rank,
                 at,
             };
             let known = &mut zones[instance.zone];
             if known.is_none_or(|known| new < known) {
                 *known = Some(new);
             }
-            keep(&mut best, new);
+            insert_bounded(&mut best, new);
         }
         (zones.into_iter().flatten().collect(), best)
     }
 }
 
-/// Keeps the best in order.
-fn keep(best: &mut Vec<Scored>, new: Scored) {
-    if best.len() == BEST && best.last().is_some_and(|last| new > *last) {
+/// Inserts an instance into the ordered list, which keeps the [`KEPT_INSTANCES`] best.
+fn insert_bounded(best: &mut Vec<Scored>, new: Scored) {
+    if best.len() == KEPT_INSTANCES && best.last().is_some_and(|last| new > *last) {
         return;
     }
-    let at = best.partition_point(|known| *known < new);
-    best.insert(at, new);
-    best.truncate(BEST);
+    let position = best.partition_point(|known| *known < new);
+    best.insert(position, new);
+    best.truncate(KEPT_INSTANCES);
 }
--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -20,42 +20,42 @@
 use crate::time::Instant;
 use crate::view::{self, Candidate, Peer, Server, Service, View};
 
-/// Whether work may be given to each instance.
+/// Standing of each instance: whether work may be given to it.
 pub(super) type Standings = Map<Arc<str>, Standing>;
 
-/// Builds views and remembers what is costly to compute.
+/// Builds views and caches what is expensive to compute.
 #[derive(Debug, Default)]
 pub(super) struct Projection {
     view: Arc<View>,
-    ranks: ranks::Ranks,
+    ranks: ranks::RankingCache,
     grants: grants::Grants,
-    cache: cache::Cache,
-    /// Standings that the view was built from.
+    cache: cache::IndexCache,
+    /// Standings that the last view was built from.
     standings: Arc<Standings>,
-    /// Names of zones, shared by the servers.
+    /// Zone names, shared by the servers of all views.
     zones: Set<Arc<str>>,
-    /// Instances in each zone that the last view was built for, where they are counted and not
-    /// published.
-    observed: Map<Arc<str>, usize>,
-    /// Services that are parts of sweeps.
-    swept: Set<String>,
-    /// Services that messages go to singly.
-    single: Set<String>,
+    /// Number of instances in each zone when the last view was built; only kept if instances are
+    /// counted from gossip instead of published.
+    instances_per_zone: Map<Arc<str>, usize>,
+    /// Services that the routes in force use as parts of sweeps.
+    sweep_services: Set<String>,
+    /// Services that the routes in force use as branches, to which single messages go.
+    branch_services: Set<String>,
 }
 
-/// What a view is built from.
+/// Inputs that a view is built from.
 pub(super) struct Source<'a> {
     /// The publication.
     pub(super) store: &'a Store,
-    /// Who is alive.
+    /// The members and their liveness.
     pub(super) membership: &'a Membership,
-    /// Requests under which servers ended.
+    /// Requests that are refused or suspected because servers crashed while running them.
     pub(super) quarantine: &'a Arc<view::Quarantine>,
-    /// Whether work may be given to an instance; one that is missing is gone.
+    /// Standing of each instance; an instance that is missing counts as gone.
     pub(super) standings: Arc<Standings>,
-    /// The instance's settings.
+    /// The settings of this instance.
     pub(super) settings: &'a Settings,
-    /// The present.
+    /// The current time.
     pub(super) now: Instant,
 }
 
@@ -65,14 +65,15 @@
     }
 }
 
-/// Connections to a server that an instance may take at its start, before it can know how many others
-/// share them. They are opened as work needs them: with one only, the instance that asks a server for
-/// all others used half of its slots for seconds, and two seconds after a loss of all instances were
-/// worth 0.69 in place of 0.96.
-const FIRST_SHARE: u32 = 2;
+/// Number of connections to a server that an instance may open at its start, before it can know
+/// how many other instances share them. Connections are opened only when work needs them. With
+/// only one, the instance that sends the requests of all others to a server used half of the
+/// server's slots for seconds, and the first two seconds after a loss of all instances scored 0.69
+/// instead of 0.96.
+const INITIAL_SHARE: u32 = 2;
 
-/// A service by name; none if it has no entry.
-type Built = (Arc<str>, Option<Service>);
+/// A service by name; `None` if it has no catalogue entry.
+type BuiltService = (Arc<str>, Option<Service>);
 
 impl Projection {
     /// Standings that the last view was built from.
@@ -85,21 +86,21 @@
         &self.view
     }
 
-    /// When a share grows.
+    /// When the next connection share grows.
     pub(super) fn next_growth(&self, settings: &Settings) -> Option<Instant> {
         self.grants.next_growth(settings.timing.grace)
     }
 
-    /// When the order of some candidates changes.
+    /// When the candidate order of some service changes next because an older list expires.
     pub(super) fn next_order(&self, settings: &Settings) -> Option<Instant> {
-        self.ranks.next_change(period(settings))
+        self.ranks.next_expiry(ranking_period(settings))
     }
 
-    /// Brings the view up to date and returns it if it differs from the last one.
+    /// Updates the view and returns it if it differs from the last one.
     ///
-    /// Only services that something of `changes` or the passing of time can concern are built. At
-    /// tens of thousands of services building all of them at each change would take a fifth of a
-    /// core; that nothing is missed shows in [`Projection::whole`].
+    /// Only services that `changes` or the passing of time can affect are built. Building all of
+    /// tens of thousands of services at each change would take a fifth of a core. Tests compare
+    /// the result with [`Projection::whole`] to show that no affected service is missed.
     pub(super) fn refresh(
         &mut self,
         source: &Source<'_>,
@@ -111,20 +112,22 @@
             self.cache.index_lists()
         });
         let routing = changes.routing.then(|| source.store.routing().map(Table::new).map(Arc::new));
-        let swept = if changes.routing { self.sweep(source) } else { Vec::new() };
-        let mut stale = self.stale(source, changes);
-        stale.extend(swept);
-        let built = self.build(source, &stale);
+        let changed_roles =
+            if changes.routing { self.refresh_sweep_services(source) } else { Vec::new() };
+        let mut changed_services = self.services_to_build(source, changes);
+        changed_services.extend(changed_roles);
+        let built = self.build(source, &changed_services);
         let revision = source.store.revision();
         let old = &self.view;
         let indexes = indexes.filter(|lists| *lists != old.indexes);
         let routing = routing.filter(|routing| *routing != old.routing);
-        // Also where no standing has changed: an instance may come back in another zone.
+        // Neighbours are also compared if no standing has changed: an instance may return in
+        // another zone.
         let neighbours = Some(neighbours::of(source)).filter(|list| **list != *old.neighbours);
-        let lists_same = indexes.is_none() && routing.is_none() && neighbours.is_none();
-        let same_requests = *source.quarantine == old.quarantine;
-        let is_same = built.is_empty() && lists_same && same_requests;
-        if is_same && old.ready == ready && old.revision == revision {
+        let lists_unchanged = indexes.is_none() && routing.is_none() && neighbours.is_none();
+        let quarantine_unchanged = *source.quarantine == old.quarantine;
+        let is_unchanged = built.is_empty() && lists_unchanged && quarantine_unchanged;
+        if is_unchanged && old.ready == ready && old.revision == revision {
             return None;
         }
         let mut view = View::clone(old);
@@ -146,11 +149,11 @@
         Some(Arc::clone(&self.view))
     }
 
-    /// The view of the same past, but built whole: all that [`Projection::refresh`] keeps and finds
-    /// out is found out again.
+    /// Builds the whole view from the same history, without the state that [`Projection::refresh`]
+    /// keeps between calls.
     pub(super) fn whole(&self, source: &Source<'_>, ready: bool) -> View {
         let mut ranks = self.ranks.clone();
-        ranks.doubt();
+        ranks.invalidate();
         let mut new = Self { ranks, grants: self.grants.clone(), ..Self::default() };
         let mut changes =
             Changes { indexes: true, instances: true, routing: true, ..Changes::default() };
@@ -160,84 +163,90 @@
         View::clone(&new.view)
     }
 
-    /// Services to build.
-    fn stale(&mut self, source: &Source<'_>, changes: Changes) -> Set<Arc<str>> {
-        let mut stale = changes.services;
+    /// Names of the services that must be built.
+    fn services_to_build(&mut self, source: &Source<'_>, changes: Changes) -> Set<Arc<str>> {
+        let mut to_build = changes.services;
         if changes.instances {
-            stale.extend(self.ranks.refresh(source.store.instances()));
+            to_build.extend(self.ranks.refresh(source.store.instances()));
         }
         if changes.evacuations {
-            stale.extend(self.view.service_keys.keys().cloned());
+            to_build.extend(self.view.service_keys.keys().cloned());
         }
         let settings = source.settings;
-        stale.extend(self.ranks.due(source.now, period(settings)).cloned());
+        to_build.extend(self.ranks.due(source.now, ranking_period(settings)).cloned());
         for server in self.grants.due(source.now, settings.timing.grace) {
             let server = source.store.server(server);
-            stale.extend(server.map(|server| server.service.as_str().into()));
+            to_build.extend(server.map(|server| server.service.as_str().into()));
         }
-        let turned = self.turned(source);
+        let changed_standings = self.refresh_standings(source);
         if settings.placement == Placement::Direct {
-            let counted = settings.listing == Listing::Observed && self.count(source);
-            let concerns_all = changes.instances || turned.contains(&settings.name) || counted;
-            let all = self.view.service_keys.keys().filter(|_| concerns_all);
-            stale.extend(all.cloned());
-        } else if !turned.is_empty() {
+            let counts_changed =
+                settings.listing == Listing::Observed && self.refresh_zone_counts(source);
+            let affects_all =
+                changes.instances || changed_standings.contains(&settings.name) || counts_changed;
+            let all_services = self.view.service_keys.keys().filter(|_| affects_all);
+            to_build.extend(all_services.cloned());
+        } else if !changed_standings.is_empty() {
             let services = self.view.services.values();
-            let concerned = services.filter(|service| is_candidate(service, &turned));
-            stale.extend(concerned.map(|service| Arc::clone(&service.name)));
+            let affected = services.filter(|service| is_candidate(service, &changed_standings));
+            to_build.extend(affected.map(|service| Arc::clone(&service.name)));
         }
-        stale
+        to_build
     }
 
-    /// Finds out which services are parts of sweeps and which have routes of their own; returns those
-    /// for which that has changed.
-    fn sweep(&mut self, source: &Source<'_>) -> Vec<Arc<str>> {
+    /// Updates the sets of services that are parts of sweeps and of those that are branches of
+    /// routes. Returns the services that entered or left one of the sets.
+    fn refresh_sweep_services(&mut self, source: &Source<'_>) -> Vec<Arc<str>> {
         let routes = source.store.routing().into_iter().flat_map(|routing| &routing.routes);
-        let swept: Set<String> = routes.clone().flat_map(|route| &route.parts).cloned().collect();
+        let sweep_services: Set<String> =
+            routes.clone().flat_map(|route| &route.parts).cloned().collect();
         let branches = routes.flat_map(|route| &route.branches);
-        let single: Set<String> = branches.map(|branch| branch.service.clone()).collect();
-        let turned = swept.symmetric_difference(&self.swept);
-        let turned = turned.chain(single.symmetric_difference(&self.single));
-        let turned = turned.map(|name| name.as_str().into()).collect();
-        self.swept = swept;
-        self.single = single;
-        turned
+        let branch_services: Set<String> = branches.map(|branch| branch.service.clone()).collect();
+        let changed = sweep_services.symmetric_difference(&self.sweep_services);
+        let changed = changed.chain(branch_services.symmetric_difference(&self.branch_services));
+        let changed = changed.map(|name| name.as_str().into()).collect();
+        self.sweep_services = sweep_services;
+        self.branch_services = branch_services;
+        changed
     }
 
-    /// Counts the instances of each zone; whether they differ from the last view's.
-    fn count(&mut self, source: &Source<'_>) -> bool {
-        let mut observed: Map<Arc<str>, usize> = Map::default();
+    /// Counts the instances of each zone. Returns whether the counts differ from those of the last
+    /// view.
+    fn refresh_zone_counts(&mut self, source: &Source<'_>) -> bool {
+        let mut instances_per_zone: Map<Arc<str>, usize> = Map::default();
         for member in source.membership.members().chain([source.membership.own()]) {
-            *observed.entry(Arc::clone(&member.zone)).or_default() += 1;
+            *instances_per_zone.entry(Arc::clone(&member.zone)).or_default() += 1;
         }
-        let differs = observed != self.observed;
-        self.observed = observed;
+        let differs = instances_per_zone != self.instances_per_zone;
+        self.instances_per_zone = instances_per_zone;
         differs
     }
 
-    /// Instances whose standing differs from the last view.
-    fn turned(&mut self, source: &Source<'_>) -> Set<Arc<str>> {
+    /// Takes over the new standings. Returns the instances whose standing differs from the last
+    /// view.
+    fn refresh_standings(&mut self, source: &Source<'_>) -> Set<Arc<str>> {
         if Arc::ptr_eq(&self.standings, &source.standings) {
             return Set::default();
         }
         let old = std::mem::replace(&mut self.standings, Arc::clone(&source.standings));
-        let turned = |name: &&Arc<str>| old.get(*name) != source.standings.get(*name);
+        let has_changed = |name: &&Arc<str>| old.get(*name) != source.standings.get(*name);
         let names = old.keys().chain(source.standings.keys());
-        names.filter(turned).cloned().collect()
+        names.filter(has_changed).cloned().collect()
     }
 
-    /// Builds services; returns those that differ, without those that have no entry any more.
-    fn build(&mut self, source: &Source<'_>, stale: &Set<Arc<str>>) -> Vec<Built> {
+    /// Builds services. Returns those that differ from the last view, with `None` for those that
+    /// no longer have a catalogue entry.
+    fn build(&mut self, source: &Source<'_>, to_build: &Set<Arc<str>>) -> Vec<BuiltService> {
         let view = Arc::clone(&self.view);
-        let known = stale.iter().filter_map(|name| view.service(name));
+        let known = to_build.iter().filter_map(|name| view.service(name));
         let servers = known.flat_map(|service| &service.servers);
-        self.grants.begin(servers.map(|server| &server.name));
-        let mut names: Vec<&Arc<str>> = stale.iter().collect();
+        self.grants.begin_round(servers.map(|server| &server.name));
+        let mut names: Vec<&Arc<str>> = to_build.iter().collect();
         names.sort_unstable();
         let mut built = Vec::new();
         for name in names {
             let old = view.service(name);
-            let new = self.service(source, name, old);
+            let new = self.build_service(source, name, old);
             if old != new.as_ref() {
                 built.push((Arc::clone(name), new));
             }
@@ -245,52 +254,54 @@
         built
     }
 
-    fn service(
+    fn build_service(
         &mut self,
         source: &Source<'_>,
         name: &Arc<str>,
         old: Option<&Service>,
     ) -> Option<Service> {
         let Some(entry) = source.store.entry(name) else {
-            self.ranks.forget(name);
+            self.ranks.remove(name);
             return None;
         };
-        let lists = self.ranks.of(source.now, name, period(source.settings));
-        let newest = lists.newest();
+        let rankings = self.ranks.versions(source.now, name, ranking_period(source.settings));
+        let newest = rankings.newest();
         let limits = entry.limits.unwrap_or_default();
         let targets: Vec<_> = source.store.servers_of(name).collect();
-        let sharers = self.sharers(source, name, &targets);
-        let all = source.membership.size();
+        let sharer_count = self.sharer_count(source, name, &targets);
+        let instance_count = source.membership.size();
         let scarce = self.is_scarce(source, name, &targets, &limits);
-        let enough =
-            |target: &&publication::Server| placement::is_enough(limit(target, &limits), all);
-        let counted = source.settings.listing == Listing::Observed;
+        let allows_idle_connections = |target: &&publication::Server| {
+            placement::allows_one_connection_each(connection_limit(target, &limits), instance_count)
+        };
+        let observed_listing = source.settings.listing == Listing::Observed;
         let mut servers = Vec::with_capacity(targets.len());
         for target in &targets {
-            let limit = limit(target, &limits);
+            let limit = connection_limit(target, &limits);
             let share = newest.map_or(0, |ranked| match scarce {
-                true => placement::asker_share(limit),
-                false => self.share(source, ranked, limit, sharers),
+                true => placement::single_asker_share(limit),
+                false => self.own_share(source, ranked, limit, sharer_count),
             });
-            servers.push(self.server(source, target, share));
+            servers.push(self.build_server(source, target, share));
         }
-        let widest = targets.iter().map(|target| limit(target, &limits)).max();
-        let known = old.filter(|old| *old.entry == *entry);
+        let widest_limit = targets.iter().map(|target| connection_limit(target, &limits)).max();
+        let known_entry = old.filter(|old| *old.entry == *entry);
         Some(Service {
-            candidates: self.candidates(source, &lists, widest),
-            sharers: u32::try_from(sharers).unwrap_or(u32::MAX),
+            candidates: self.candidates(source, &rankings, widest_limit),
+            sharers: u32::try_from(sharer_count).unwrap_or(u32::MAX),
             scarce,
-            spare: !scarce && (!counted || targets.iter().all(enough)),
+            spare: !scarce && (!observed_listing || targets.iter().all(allows_idle_connections)),
             name: Arc::clone(name),
-            entry: known.map_or_else(|| Arc::new(entry.clone()), |old| Arc::clone(&old.entry)),
+            entry: known_entry
+                .map_or_else(|| Arc::new(entry.clone()), |old| Arc::clone(&old.entry)),
             servers,
         })
     }
 
-    /// Whether one instance is to ask the service's servers for all.
+    /// Whether one instance should send the requests of all others to the service's servers.
     ///
-    /// That holds for parts of sweeps, and for what no route names yet: the servers of an index to come
-    /// run for seconds before it is in force.
+    /// This applies to parts of sweeps, and to services that no route names yet: the servers of a
+    /// future index run for seconds before the index is in force.
     fn is_scarce(
         &self,
         source: &Source<'_>,
@@ -298,20 +309,25 @@
         targets: &[&publication::Server],
         limits: &catalogue::Limits,
     ) -> bool {
-        let swept = self.swept.contains(&**service) || !self.single.contains(&**service);
-        let all = source.membership.size();
-        let scarce = |target: &&publication::Server| {
-            placement::is_scarce(limit(target, limits), target.slots, all)
+        let may_be_swept =
+            self.sweep_services.contains(&**service) || !self.branch_services.contains(&**service);
+        let instance_count = source.membership.size();
+        let is_short = |target: &&publication::Server| {
+            placement::is_short_of_connections(
+                connection_limit(target, limits),
+                target.slots,
+                instance_count,
+            )
         };
-        source.settings.near && swept && targets.iter().any(scarce)
+        source.settings.near && may_be_swept && targets.iter().any(is_short)
     }
 
-    /// The share of this instance by the newest list. An instance that is not in the list has
-    /// none, as no other counts it.
-    fn share(
+    /// The connection share of this instance by the newest list. An instance that is not in the
+    /// list has none, because the other instances do not count it.
+    fn own_share(
         &self,
         source: &Source<'_>,
-        ranked: &ranks::Ranked,
+        ranked: &ranks::RankedCandidates,
         limit: u32,
         sharers: usize,
     ) -> u32 {
@@ -326,13 +342,13 @@
         }
         let mut instances = ranked.instances.iter();
         let position = instances.position(|listed| listed.peer.name == *own);
-        let divided = placement::divide(limit);
-        position.map_or(0, |position| divided.at(ranked.primaries, position))
+        let divided = placement::divide_limit(limit);
+        position.map_or(0, |position| divided.for_position(ranked.primaries, position))
     }
 
-    /// Parts that what an entry grants the fleet is divided into, of which this instance takes one:
-    /// with one owner for each service it takes the whole.
-    fn sharers(
+    /// Number of parts that the fleet-wide limits of a catalogue entry are divided into. This
+    /// instance takes one part. With one owner per service, the owner takes the whole.
+    fn sharer_count(
         &self,
         source: &Source<'_>,
         service: &Arc<str>,
@@ -342,28 +358,37 @@
         if settings.listing == Listing::Published {
             return 1;
         }
-        let all = source.membership.size();
-        if !settings.near || !self.swept.contains(&**service) {
-            return all;
+        let instance_count = source.membership.size();
+        if !settings.near || !self.sweep_services.contains(&**service) {
+            return instance_count;
         }
         let zones: Set<&str> = targets.iter().map(|target| target.zone.as_str()).collect();
-        let counts = zones.iter().filter_map(|zone| self.observed.get(*zone));
-        let near = counts.sum::<usize>().min(all);
-        placement::parts(near, all - near, zones.contains(&*settings.zone))
+        let zone_counts = zones.iter().filter_map(|zone| self.instances_per_zone.get(*zone));
+        let near_instances = zone_counts.sum::<usize>().min(instance_count);
+        placement::limit_divisor(
+            near_instances,
+            instance_count - near_instances,
+            zones.contains(&*settings.zone),
+        )
     }
 
-    fn server(&mut self, source: &Source<'_>, target: &publication::Server, share: u32) -> Server {
+    fn build_server(
+        &mut self,
+        source: &Source<'_>,
+        target: &publication::Server,
+        share: u32,
+    ) -> Server {
         let name = target.name.as_str().into();
         let grace = source.settings.timing.grace;
         let first = match source.settings.listing {
             Listing::Published => 0,
-            Listing::Observed => FIRST_SHARE,
+            Listing::Observed => INITIAL_SHARE,
         };
         Server {
-            share: self.grants.settle(source.now, &name, share, (grace, first)),
+            share: self.grants.update(source.now, &name, share, (grace, first)),
             name,
             address: target.address.as_str().into(),
-            zone: self.zone(&target.zone),
+            zone: self.shared_zone_name(&target.zone),
             incarnation: target.incarnation,
             leaving: source.store.departed(target),
             evacuated: source.store.is_evacuated(&target.zone),
@@ -373,7 +398,7 @@
         }
     }
 
-    fn zone(&mut self, name: &str) -> Arc<str> {
+    fn shared_zone_name(&mut self, name: &str) -> Arc<str> {
         if let Some(known) = self.zones.get(name) {
             return Arc::clone(known);
         }
@@ -382,37 +407,40 @@
         new
     }
 
-    /// The candidates that have a share of the server with the widest limit; all if the service
-    /// has no server.
+    /// The candidates that have a share of the server with the highest connection limit, or all
+    /// candidates if the service has no server.
     fn candidates(
         &self,
         source: &Source<'_>,
-        lists: &ranks::Lists,
-        widest: Option<u32>,
+        rankings: &ranks::RankingVersions,
+        widest_limit: Option<u32>,
     ) -> Vec<Candidate> {
         if source.settings.placement == Placement::Direct {
             return self.own_candidate(source);
         }
-        let primaries = lists.newest().map_or(0, |ranked| ranked.primaries);
-        let divided = widest.map(placement::divide);
-        let has_share =
-            |position: usize| divided.is_none_or(|share| share.at(primaries, position) > 0);
-        let usable = lists.ordered(has_share);
+        let primaries = rankings.newest().map_or(0, |ranked| ranked.primaries);
+        let divided = widest_limit.map(placement::divide_limit);
+        let has_share = |position: usize| {
+            divided.is_none_or(|share| share.for_position(primaries, position) > 0)
+        };
+        let usable = rankings.ordered_candidates(has_share);
         let standings = usable.iter().map(|listed| (listed, source.standing(&listed.peer.name)));
         let standings: Vec<_> = standings.collect();
         let best = standings.iter().map(|&(_, standing)| standing).max();
-        let candidate = |&(listed, standing): &(&Arc<ranks::Listed>, Standing)| Candidate {
-            peer: listed.peer.clone(),
-            live: standing > Standing::Gone && Some(standing) == best,
-            local: listed.peer.name == source.settings.name,
-        };
+        let candidate =
+            |&(listed, standing): &(&Arc<ranks::PublishedInstance>, Standing)| Candidate {
+                peer: listed.peer.clone(),
+                live: standing > Standing::Gone && Some(standing) == best,
+                local: listed.peer.name == source.settings.name,
+            };
         standings.iter().map(candidate).collect()
     }
 
-    /// This instance, for services that every instance asks by itself.
+    /// This instance as the only candidate of a service under direct placement, if it is listed.
     ///
-    /// It is live also while it leaves. Nobody else takes over the work of its own callers, who come
-    /// until the balancer has noticed: without a live candidate it would refuse them all.
+    /// The candidate is live even while this instance is leaving. No other instance takes over the
+    /// work of this instance's own callers, and they keep sending until the load balancer has
+    /// noticed: without a live candidate all their requests would be refused.
     fn own_candidate(&self, source: &Source<'_>) -> Vec<Candidate> {
         let own = source.membership.own();
         let candidate = Candidate {
@@ -426,21 +454,21 @@
     }
 }
 
-/// How long a new list does not decide alone who is preferred: shares must have grown, and others
-/// must have learnt of it.
-fn period(settings: &Settings) -> Duration {
+/// How long the older lists still take part in the order of candidates after a new list. In this
+/// time shares grow and other instances learn of the new list.
+fn ranking_period(settings: &Settings) -> Duration {
     settings.timing.grace + settings.timing.probe
 }
 
-/// Connections to the server that the fleet may hold together.
-fn limit(server: &publication::Server, limits: &catalogue::Limits) -> u32 {
+/// Number of connections to the server that the whole fleet may hold.
+fn connection_limit(server: &publication::Server, limits: &catalogue::Limits) -> u32 {
     match limits.connections {
         0 => server.connections,
         connections => connections.min(server.connections),
     }
 }
 
-fn is_candidate(service: &Service, turned: &Set<Arc<str>>) -> bool {
+fn is_candidate(service: &Service, changed_standings: &Set<Arc<str>>) -> bool {
     let mut candidates = service.candidates.iter();
-    candidates.any(|candidate| turned.contains(&candidate.peer.name))
+    candidates.any(|candidate| changed_standings.contains(&candidate.peer.name))
 }
--- a/crates/core/src/control/project/cache.rs
+++ b/crates/core/src/control/project/cache.rs
@@ -1,4 +1,4 @@
-//! Indexes that views share as long as they do not change.
+//! Indexes shared between views as long as they do not change.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use crate::collections::Map;
 use crate::control::store::Store;
 
-type Lists = Map<Arc<str>, Vec<Arc<Index>>>;
+type IndexVersions = Map<Arc<str>, Vec<Arc<Index>>>;
 
-/// Indexes of the last view.
+/// Indexes of the last view, by name and version.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Cache {
+pub(super) struct IndexCache {
     indexes: Map<(Arc<str>, u64), Arc<Index>>,
 }
 
-impl Cache {
-    /// Takes over the indexes in force.
+impl IndexCache {
+    /// Updates the cache to the indexes in force in `store`.
     pub(super) fn refresh(&mut self, store: &Store) {
         let old = std::mem::take(&mut self.indexes);
         for index in store.indexes() {
@@ -29,15 +29,15 @@
     }
 
     /// Versions of each index, newest first.
-    pub(super) fn index_lists(&self) -> Lists {
-        let mut lists = Lists::default();
+    pub(super) fn index_lists(&self) -> IndexVersions {
+        let mut versions = IndexVersions::default();
         for ((name, _), index) in &self.indexes {
-            let list = lists.entry(Arc::clone(name)).or_default();
-            list.push(Arc::clone(index));
+            let index_versions = versions.entry(Arc::clone(name)).or_default();
+            index_versions.push(Arc::clone(index));
         }
-        for list in lists.values_mut() {
-            list.sort_unstable_by_key(|index| Reverse(index.version));
+        for index_versions in versions.values_mut() {
+            index_versions.sort_unstable_by_key(|index| Reverse(index.version));
         }
-        lists
+        versions
     }
 }
--- a/crates/core/src/control/project/grants.rs
+++ b/crates/core/src/control/project/grants.rs
@@ -1,15 +1,17 @@
-//! Connections that this instance may hold, which shrink at once and grow late.
+//! Connections that this instance may hold to each server. A grant shrinks at once and grows only
+//! after a delay.
 //!
 //! When the published list changes, one instance's share grows because another's shrinks. If the
-//! first learns of the list before the second, both hold the larger share and a server refuses
-//! connections. A share therefore grows only to the least that it was over the last grace period.
+//! first instance learns of the list before the second, both hold the larger share and a server
+//! refuses connections. A grant therefore grows only to the smallest share of the last grace
+//! period.
 //!
 //! # Bound
 //!
-//! Let every instance learn of a list within one grace period of its publication, and let `L` be
-//! the newest list that is at least a grace period old. Each instance held `L` at some moment of
-//! the last grace period, so its grant is at most its share by `L`, and the grants of a server sum
-//! to at most the sum of the shares by `L`.
+//! Assume that every instance learns of a list within one grace period of its publication, and let
+//! `L` be the newest list that is at least one grace period old. Each instance had `L` at some
+//! moment of the last grace period, so its grant is at most its share by `L`, and the grants for a
+//! server sum to at most the sum of the shares by `L`.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,13 +19,13 @@
 use crate::collections::Map;
 use crate::time::Instant;
 
-/// A share that has grown.
+/// A share that has grown but is not granted yet.
 #[derive(Clone, Copy, Debug)]
 struct Growth {
-    /// The least share since it grew.
+    /// The smallest share since it grew.
     ///
-    /// Invariant: above the connections granted.
-    least: u32,
+    /// Invariant: greater than the granted connections.
+    min_share: u32,
     since: Instant,
 }
 
@@ -33,30 +35,31 @@
     growth: Option<Growth>,
 }
 
-/// Connections granted per server.
+/// Connections granted to this instance, by server.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Grants {
-    /// Invariant: each is of a server that has been settled since it was last in a
-    /// [`Grants::begin`]. A growth that nobody settles any more would stay due for ever, and the
-    /// machine would wake without end.
+    /// Invariant: contains only servers for which [`Grants::update`] was called since they were
+    /// last passed to [`Grants::begin_round`]. A growth that is never updated again would stay due
+    /// forever, and the control machine would wake up without end.
     granted: Map<Arc<str>, Grant>,
-    /// Grants before the last [`Grants::begin`].
-    old: Map<Arc<str>, Grant>,
+    /// Grants of the current round's servers that have not been updated in this round yet.
+    previous_round: Map<Arc<str>, Grant>,
 }
 
 impl Grants {
-    /// Starts a new round: one of these servers that is not settled in it has no grant any more.
-    pub(super) fn begin<'a>(&mut self, servers: impl Iterator<Item = &'a Arc<str>>) {
-        self.old.clear();
+    /// Starts a round of updates for these servers. A server that is not updated in the round
+    /// loses its grant.
+    pub(super) fn begin_round<'a>(&mut self, servers: impl Iterator<Item = &'a Arc<str>>) {
+        self.previous_round.clear();
         for server in servers {
-            let grant = self.granted.remove_entry(server);
-            self.old.extend(grant);
+            let previous = self.granted.remove_entry(server);
+            self.previous_round.extend(previous);
         }
     }
 
-    /// The connections granted when the share by the newest list is `share`; a server that had none
-    /// gets up to `first` at once.
-    pub(super) fn settle(
+    /// Returns the connections granted to this instance for a server. `share` is the share by the
+    /// newest list; a server without a grant is granted up to `first` connections at once.
+    pub(super) fn update(
         &mut self,
         now: Instant,
         server: &Arc<str>,
@@ -66,48 +69,48 @@
         if share == 0 {
             return 0;
         }
-        let known = self.old.remove(server);
-        let known = known.or_else(|| self.granted.remove(server));
-        let new = Grant { connections: first.min(share), growth: None };
-        let mut grant = known.unwrap_or(new);
-        grant.settle(now, share, grace);
+        let previous = self.previous_round.remove(server);
+        let previous = previous.or_else(|| self.granted.remove(server));
+        let initial = Grant { connections: first.min(share), growth: None };
+        let mut grant = previous.unwrap_or(initial);
+        grant.update(now, share, grace);
         self.granted.insert(Arc::clone(server), grant);
         grant.connections
     }
 
-    /// Servers whose share grows now.
+    /// Servers whose grant grows now.
     pub(super) fn due(&self, now: Instant, grace: Duration) -> impl Iterator<Item = &Arc<str>> {
         let is_due = move |grant: &Grant| {
             let growth = grant.growth;
             growth.is_some_and(|growth| now.since(growth.since) >= grace)
         };
-        let due = self.granted.iter().filter(move |(_, grant)| is_due(grant));
-        due.map(|(server, _)| server)
+        let due_grants = self.granted.iter().filter(move |(_, grant)| is_due(grant));
+        due_grants.map(|(server, _)| server)
     }
 
-    /// When the next share grows.
+    /// When the next grant grows.
     pub(super) fn next_growth(&self, grace: Duration) -> Option<Instant> {
-        let growths = self.granted.values().filter_map(|grant| grant.growth);
-        growths.map(|growth| growth.since + grace).min()
+        let pending = self.granted.values().filter_map(|grant| grant.growth);
+        pending.map(|growth| growth.since + grace).min()
     }
 }
 
 impl Grant {
-    fn settle(&mut self, now: Instant, share: u32, grace: Duration) {
+    fn update(&mut self, now: Instant, share: u32, grace: Duration) {
         if let Some(growth) = &mut self.growth {
-            growth.least = growth.least.min(share);
+            growth.min_share = growth.min_share.min(share);
         }
         if let Some(growth) = self.growth
             && now.since(growth.since) >= grace
         {
-            self.connections = growth.least;
+            self.connections = growth.min_share;
             self.growth = None;
         }
         if share <= self.connections {
             self.connections = share;
             self.growth = None;
         } else if self.growth.is_none() {
-            self.growth = Some(Growth { least: share, since: now });
+            self.growth = Some(Growth { min_share: share, since: now });
         }
     }
 }
--- a/crates/core/src/control/project/neighbours.rs
+++ b/crates/core/src/control/project/neighbours.rs
@@ -1,4 +1,4 @@
-//! The other instances of a view.
+//! Lists the other instances for a view.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 use crate::control::settings::Placement;
 use crate::view::{Neighbour, Peer};
 
-/// Settled instances besides this one. Under owner placement the candidates of each service take
-/// their place.
+/// The other instances that have settled. The list is empty under owner placement, where the
+/// candidates of each service are used instead.
 pub(super) fn of(source: &Source<'_>) -> Arc<[Neighbour]> {
     if source.settings.placement != Placement::Direct {
         return Arc::default();
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -1,15 +1,17 @@
-//! Requests that end the servers that run them.
+//! Quarantine of poison requests: requests that crash the server processes that run them.
 //!
-//! Instances tell each other which requests were at a server that ended. A request is held to have ended it
-//! when it is the only one of them that no server has answered, and is refused everywhere once it has
-//! ended [`ENDS`] servers. What is held merges in any order: ends only gain requests, an end that is refuted
-//! stays so, and a cleared request stays cleared.
+//! Instances send each other which requests were open at a server when it crashed. A request is
+//! considered the cause of a crash if it is the only one of them that no server has answered. It
+//! is refused by every instance once it has crashed [`MIN_CRASHES`] servers. The state merges in
+//! any order: a crash only gains requests, a refuted crash stays refuted, and a cleared request
+//! stays cleared.
 //!
 //! # Bounds
 //!
-//! A request that nobody asks for any more is forgotten after [`MEMORY`]; if it comes again then, it ends up to
-//! one server of each of its shards before it is refused anew. The same holds for what every instance has
-//! forgotten because all were lost at once, and for what is beyond [`REQUESTS`].
+//! A quarantined request that no caller sends any more is forgotten after [`RETENTION`]. If it is
+//! sent again later, it crashes up to one server of each of its shards before it is refused again.
+//! The same applies to state lost because all instances were lost at once, and to requests beyond
+//! [`MAX_REQUESTS`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,29 +24,32 @@
 use crate::time::Instant;
 use crate::view;
 
-/// Servers that a request has to end to be refused.
-const ENDS: usize = 3;
-/// How long an end counts, and how long an entry lasts without being asked for.
-pub const MEMORY: Duration = Duration::from_secs(15 * 60);
-/// Ends kept at once.
-const KEPT_ENDS: usize = 64;
-/// Requests kept of one end.
-const KEPT_REQUESTS: usize = 16;
-/// Requests refused at once, and cleared ones remembered.
-pub const REQUESTS: usize = 64;
-/// Time without use after which an entry may be evicted.
-const IDLE: Duration = Duration::from_secs(60);
-/// How much younger than the oldest known end one of a peer is to take its place.
-const YOUNGER: Duration = Duration::from_secs(1);
-/// Incarnations kept of one entry.
-const KEPT_INCARNATIONS: usize = 4;
-
-/// One run of a server, from its start to its end.
+/// Number of servers that a request must crash to be refused.
+const MIN_CRASHES: usize = 3;
+/// How long a crash counts, and how long an entry is kept after its request was last sent or
+/// cleared.
+pub const RETENTION: Duration = Duration::from_secs(15 * 60);
+/// Maximum number of crashes kept at once.
+const MAX_CRASHES: usize = 64;
+/// Maximum number of requests kept of one crash.
+const MAX_REQUESTS_PER_CRASH: usize = 16;
+/// Maximum number of requests refused at once, and also of cleared requests remembered.
+pub const MAX_REQUESTS: usize = 64;
+/// How long the request of a quarantined entry must not have been sent before the entry may be
+/// evicted for another one.
+const EVICTABLE_AFTER: Duration = Duration::from_secs(60);
+/// How much more recent than the oldest kept crash a peer's crash must be to replace it when
+/// [`MAX_CRASHES`] are kept.
+const MIN_REPLACEMENT_AGE_GAP: Duration = Duration::from_secs(1);
+/// Maximum number of incarnations kept of one entry.
+const MAX_INCARNATIONS_PER_ENTRY: usize = 4;
+
+/// One process life of a server, from its start to its termination.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// The server.
+    /// Name of the server.
     pub server: Arc<str>,
-    /// Grows with every start of the server.
+    /// Incarnation number; increases with every start of the server.
     pub number: u64,
 }
 
@@ -53,31 +58,31 @@
         Self { server: incarnation.server.as_str().into(), number: incarnation.number }
     }
 
-    /// As it is written to peers and operators.
+    /// The incarnation as a message for peers and operators.
     pub fn written(&self) -> wire::Incarnation {
         wire::Incarnation { server: self.server.to_string(), number: self.number }
     }
 }
 
-/// The reported end of an incarnation.
+/// The reported crash of an incarnation.
 #[derive(Clone, Debug)]
-struct End {
-    /// Requests that were there.
+struct CrashReport {
+    /// Requests that were open at the server.
     ///
-    /// Invariant: sorted, each once.
+    /// Invariant: sorted, without duplicates.
     requests: Vec<Fingerprint>,
-    /// It has answered since.
+    /// Whether the incarnation has answered since, so that it did not crash.
     refuted: bool,
-    /// When the first of its calls broke off.
+    /// When the first of the calls to the incarnation broke off.
     at: Instant,
 }
 
-/// What is held of a request.
+/// Whether a request is refused or cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// It is refused.
+    /// The request is refused.
     Quarantined,
-    /// It was answered or released.
+    /// The request was answered by a server or released by an operator.
     Cleared,
 }
 
@@ -90,35 +95,35 @@
     }
 }
 
-/// What changed an entry.
+/// What changed an entry of the quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// So many servers ended under the request.
+    /// Enough servers crashed under the request.
     Ends,
-    /// A server answered it.
+    /// A server answered the request.
     Answer,
-    /// A server that it was said to have ended goes on.
+    /// A server that the request was reported to have crashed is still running.
     Refutation,
-    /// An operator released it.
+    /// An operator released the request.
     Operator,
-    /// A peer holds it so.
+    /// A peer reported this standing.
     Peer,
 }
 
-/// What is held of a request, and why.
+/// The standing of a request, and the crashes that it is based on.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// What is held.
+    /// Whether the request is refused or cleared.
     pub standing: Standing,
-    /// Servers that it ended.
+    /// Incarnations that the request crashed.
     ///
-    /// Invariant: sorted, each once; none of them is refuted.
+    /// Invariant: sorted, without duplicates; the crash of none of them is refuted.
     pub incarnations: Vec<Incarnation>,
-    /// When it was last asked for or cleared.
+    /// When the request was last sent by a caller or cleared.
     pub seen: Instant,
 }
 
-/// An entry that has changed.
+/// A quarantine entry that has changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Change {
     pub(super) request: Fingerprint,
@@ -127,27 +132,28 @@
     pub(super) incarnations: Vec<Incarnation>,
 }
 
-/// All that is held of requests under which servers ended.
+/// The crashes of servers and the requests quarantined or cleared because of them, as this
+/// instance knows them.
 #[derive(Debug, Default)]
 pub(super) struct Quarantine {
-    ends: Map<Incarnation, End>,
+    crashes: Map<Incarnation, CrashReport>,
     entries: Map<Fingerprint, Entry>,
-    /// What the traffic has to know of it.
+    /// The part of the quarantine that traffic needs.
     view: Arc<view::Quarantine>,
 }
 
 impl Quarantine {
-    /// What the traffic has to know.
+    /// The part of the quarantine that traffic needs.
     pub(super) const fn view(&self) -> &Arc<view::Quarantine> {
         &self.view
     }
 
-    /// The entries.
+    /// The quarantined and cleared requests with their entries.
     pub(super) fn entries(&self) -> impl Iterator<Item = (&Fingerprint, &Entry)> {
         self.entries.iter()
     }
 
-    /// Records that a server ended while these requests were open there.
+    /// Records that a server crashed while these requests were open there.
     pub(super) fn crashed(
         &mut self,
         now: Instant,
@@ -155,19 +161,19 @@
         at: Instant,
         requests: &[Fingerprint],
     ) -> Vec<Change> {
-        self.add_end(incarnation, requests, at);
+        self.add_crash(incarnation, requests, at);
         self.evaluate(now)
     }
 
-    /// Marks an incarnation as alive again.
+    /// Marks the crash of an incarnation as refuted, because the incarnation is still running.
     pub(super) fn refuted(&mut self, now: Instant, incarnation: &Incarnation) -> Vec<Change> {
-        if let Some(end) = self.ends.get_mut(incarnation) {
-            end.refuted = true;
+        if let Some(crash) = self.crashes.get_mut(incarnation) {
+            crash.refuted = true;
         }
         self.evaluate(now)
     }
 
-    /// Clears a request that was answered, or that an operator releases.
+    /// Clears a request that a server answered or that an operator releases.
     pub(super) fn cleared(
         &mut self,
         now: Instant,
@@ -176,16 +182,16 @@
     ) -> Vec<Change> {
         let cleared = Entry { standing: Standing::Cleared, incarnations: Vec::new(), seen: now };
         let before = self.entries.insert(request, cleared);
-        let turned = before.is_none_or(|entry| entry.standing != Standing::Cleared);
+        let has_changed = before.is_none_or(|entry| entry.standing != Standing::Cleared);
         let mut changes = self.evaluate(now);
-        if turned {
+        if has_changed {
             let (standing, incarnations) = (Standing::Cleared, Vec::new());
             changes.insert(0, Change { request, standing, cause, incarnations });
         }
         changes
     }
 
-    /// Renews the entry of a refused request that came again.
+    /// Renews the entry of a quarantined request that a caller sent again.
     pub(super) fn asked(&mut self, now: Instant, request: Fingerprint) {
         let entry = self.entries.get_mut(&request);
         if let Some(entry) = entry.filter(|entry| entry.standing == Standing::Quarantined) {
@@ -193,14 +199,14 @@
         }
     }
 
-    /// Merges what a peer holds, as far as there is room.
+    /// Merges the crashes and entries in a peer's frame, as far as there is room.
     ///
-    /// Instances that hold as much as they may would otherwise drop what they have just told each other, and
-    /// hear it again, without end.
+    /// Without that restriction, instances that keep the maximum would drop what they have just
+    /// sent to each other and receive it again, without end.
     pub(super) fn merge(&mut self, now: Instant, frame: &Frame) -> Vec<Change> {
         let mut changes = Vec::new();
         for crash in &frame.crashes {
-            self.merge_end(now, crash);
+            self.merge_crash(now, crash);
         }
         for entry in &frame.quarantines {
             changes.extend(self.merge_entry(now, entry));
@@ -209,122 +215,128 @@
         changes
     }
 
-    fn merge_end(&mut self, now: Instant, crash: &wire::Crash) {
-        let age = Duration::from_millis(crash.age_ms.into());
-        if age >= MEMORY {
+    fn merge_crash(&mut self, now: Instant, received: &wire::Crash) {
+        let age = Duration::from_millis(received.age_ms.into());
+        if age >= RETENTION {
             return;
         }
         let incarnation =
-            Incarnation { server: crash.server.as_str().into(), number: crash.incarnation };
-        if !self.ends.contains_key(&incarnation) && !self.has_room(now - age) {
+            Incarnation { server: received.server.as_str().into(), number: received.incarnation };
+        if !self.crashes.contains_key(&incarnation) && !self.has_room(now - age) {
             return;
         }
         let requests: Vec<Fingerprint> =
-            crash.requests.iter().filter_map(|bytes| Fingerprint::read(bytes)).collect();
-        self.add_end(incarnation.clone(), &requests, now - age);
-        if let Some(end) = self.ends.get_mut(&incarnation) {
-            end.refuted |= crash.refuted;
+            received.requests.iter().filter_map(|bytes| Fingerprint::read(bytes)).collect();
+        self.add_crash(incarnation.clone(), &requests, now - age);
+        if let Some(known) = self.crashes.get_mut(&incarnation) {
+            known.refuted |= received.refuted;
         }
     }
 
     fn merge_entry(&mut self, now: Instant, entry: &wire::Quarantine) -> Option<Change> {
         let idle = Duration::from_millis(entry.idle_ms.into());
-        let request = Fingerprint::read(&entry.request).filter(|_| idle < MEMORY)?;
+        let request = Fingerprint::read(&entry.request).filter(|_| idle < RETENTION)?;
         let standing = match entry.standing() {
             wire::Standing::Quarantined => Standing::Quarantined,
             wire::Standing::Cleared => Standing::Cleared,
             wire::Standing::Unspecified => return None,
         };
         let before = self.entries.get(&request).map(|known| known.standing);
-        if before.is_none() && self.count(standing) >= REQUESTS {
+        if before.is_none() && self.count(standing) >= MAX_REQUESTS {
             return None;
         }
-        let known = self.entries.entry(request).or_insert_with(|| Entry {
+        let merged = self.entries.entry(request).or_insert_with(|| Entry {
             standing,
             incarnations: Vec::new(),
             seen: now - idle,
         });
-        known.standing = known.standing.max(standing);
-        known.seen = known.seen.max(now - idle);
-        known.incarnations.extend(entry.incarnations.iter().map(Incarnation::read));
-        tidy(&mut known.incarnations, KEPT_INCARNATIONS);
-        let (standing, incarnations) = (known.standing, known.incarnations.clone());
+        merged.standing = merged.standing.max(standing);
+        merged.seen = merged.seen.max(now - idle);
+        merged.incarnations.extend(entry.incarnations.iter().map(Incarnation::read));
+        sort_dedup_truncate(&mut merged.incarnations, MAX_INCARNATIONS_PER_ENTRY);
+        let (standing, incarnations) = (merged.standing, merged.incarnations.clone());
         let cause = Cause::Peer;
         (before != Some(standing)).then_some(Change { request, standing, cause, incarnations })
     }
 
-    /// Whether an end of this time would be kept.
+    /// Whether a crash at this time would be kept.
     fn has_room(&self, at: Instant) -> bool {
-        let oldest = self.ends.values().map(|end| end.at).min().unwrap_or_default();
-        self.ends.len() < KEPT_ENDS || at.since(oldest) > YOUNGER
+        let oldest = self.crashes.values().map(|crash| crash.at).min().unwrap_or_default();
+        self.crashes.len() < MAX_CRASHES || at.since(oldest) > MIN_REPLACEMENT_AGE_GAP
     }
 
     fn count(&self, standing: Standing) -> usize {
         self.entries.values().filter(|entry| entry.standing == standing).count()
     }
 
-    fn add_end(&mut self, incarnation: Incarnation, requests: &[Fingerprint], at: Instant) {
-        let new = || End { requests: Vec::new(), refuted: false, at };
-        let end = self.ends.entry(incarnation).or_insert_with(new);
-        end.at = end.at.min(at);
-        end.requests.extend(requests);
-        tidy(&mut end.requests, KEPT_REQUESTS);
+    fn add_crash(&mut self, incarnation: Incarnation, requests: &[Fingerprint], at: Instant) {
+        let new = || CrashReport { requests: Vec::new(), refuted: false, at };
+        let crash = self.crashes.entry(incarnation).or_insert_with(new);
+        crash.at = crash.at.min(at);
+        crash.requests.extend(requests);
+        sort_dedup_truncate(&mut crash.requests, MAX_REQUESTS_PER_CRASH);
     }
 
-    /// Evaluates all ends; returns the entries that changed.
+    /// Derives the quarantined and cleared requests from all crashes. Returns the entries that
+    /// changed.
     fn evaluate(&mut self, now: Instant) -> Vec<Change> {
-        self.shrink(now);
-        let mut changes = self.reconsider(now);
-        for (request, mut incarnations) in self.sole_suspects() {
-            let known = self.entries.contains_key(&request);
-            if incarnations.len() < ENDS || known || !self.make_room(now) {
+        self.drop_expired_and_excess(now);
+        let mut changes = self.clear_refuted(now);
+        for (request, mut incarnations) in self.crashes_by_sole_suspect() {
+            let is_known = self.entries.contains_key(&request);
+            if incarnations.len() < MIN_CRASHES || is_known || !self.make_room(now) {
                 continue;
             }
-            tidy(&mut incarnations, KEPT_INCARNATIONS);
+            sort_dedup_truncate(&mut incarnations, MAX_INCARNATIONS_PER_ENTRY);
             let standing = Standing::Quarantined;
             let cause = Cause::Ends;
             changes.push(Change { request, standing, cause, incarnations: incarnations.clone() });
             self.entries.insert(request, Entry { standing, incarnations, seen: now });
         }
-        self.renew_view();
+        self.rebuild_view();
         changes
     }
 
-    /// Evicts the least recently used entry when full; whether there is room for another.
+    /// Evicts the least recently used quarantined request if the quarantine is full. Returns
+    /// whether there is room for another.
     fn make_room(&mut self, now: Instant) -> bool {
-        if self.count(Standing::Quarantined) < REQUESTS {
+        if self.count(Standing::Quarantined) < MAX_REQUESTS {
             return true;
         }
-        let oldest = self.oldest(Standing::Quarantined);
-        let idle = oldest.filter(|request| now.since(self.entries[request].seen) >= IDLE);
+        let oldest = self.least_recently_seen(Standing::Quarantined);
+        let idle =
+            oldest.filter(|request| now.since(self.entries[request].seen) >= EVICTABLE_AFTER);
         idle.inspect(|request| self.forget(*request)).is_some()
     }
 
-    /// The request of this standing that was seen least lately.
-    fn oldest(&self, standing: Standing) -> Option<Fingerprint> {
+    /// The request of this standing that was last seen longest ago.
+    fn least_recently_seen(&self, standing: Standing) -> Option<Fingerprint> {
         let entries = self.entries.iter().filter(|(_, entry)| entry.standing == standing);
-        entries.min_by_key(|(request, entry)| (entry.seen, **request)).map(|(one, _)| *one)
+        entries.min_by_key(|(request, entry)| (entry.seen, **request)).map(|(request, _)| *request)
     }
 
-    /// Forgets a request with what it ended: it would be quarantined again by that.
+    /// Forgets a request together with its part in all crashes; otherwise these would quarantine
+    /// it again.
     fn forget(&mut self, request: Fingerprint) {
         self.entries.remove(&request);
-        self.ends.retain(|_, end| {
-            end.requests.retain(|other| *other != request);
-            !end.requests.is_empty()
+        self.crashes.retain(|_, crash| {
+            crash.requests.retain(|other| *other != request);
+            !crash.requests.is_empty()
         });
     }
 
-    /// Clears requests whose ends are refuted.
-    fn reconsider(&mut self, now: Instant) -> Vec<Change> {
-        let refuted =
-            |incarnation: &Incarnation| self.ends.get(incarnation).is_some_and(|end| end.refuted);
+    /// Clears quarantined requests that have too few crashes left because others were refuted.
+    fn clear_refuted(&mut self, now: Instant) -> Vec<Change> {
+        let refuted = |incarnation: &Incarnation| {
+            self.crashes.get(incarnation).is_some_and(|crash| crash.refuted)
+        };
         let mut changes = Vec::new();
         for (request, entry) in &mut self.entries {
-            let before = entry.incarnations.len();
+            let count_before = entry.incarnations.len();
             entry.incarnations.retain(|incarnation| !refuted(incarnation));
-            let lost = entry.incarnations.len() < before && entry.incarnations.len() < ENDS;
-            if lost && entry.standing == Standing::Quarantined {
+            let is_below_minimum =
+                entry.incarnations.len() < count_before && entry.incarnations.len() < MIN_CRASHES;
+            if is_below_minimum && entry.standing == Standing::Quarantined {
                 entry.standing = Standing::Cleared;
                 entry.seen = now;
                 changes.push(Change {
@@ -338,65 +350,69 @@
         changes
     }
 
-    /// The servers that ended under each request while no other was there that may have ended them.
+    /// The incarnations that crashed under each request while no other request that may have
+    /// crashed them was open there.
     ///
-    /// Requests that happen to be beside a poison one end with it each time. Whatever a request ended that is
-    /// refused already is not held against the others.
-    fn sole_suspects(&self) -> Map<Fingerprint, Vec<Incarnation>> {
-        let standing = |request: &Fingerprint| self.entries.get(request).map(|one| one.standing);
-        let mut alone: Map<Fingerprint, Vec<Incarnation>> = Map::default();
-        for (incarnation, end) in self.ends.iter().filter(|(_, end)| !end.refuted) {
-            let suspects = end.requests.iter();
-            let mut suspects = suspects.filter(|one| standing(one) != Some(Standing::Cleared));
+    /// Requests that happen to run beside a poison request are present at each of its crashes. A
+    /// crash with a request that is already quarantined is not attributed to the other requests.
+    fn crashes_by_sole_suspect(&self) -> Map<Fingerprint, Vec<Incarnation>> {
+        let standing =
+            |request: &Fingerprint| self.entries.get(request).map(|entry| entry.standing);
+        let mut by_suspect: Map<Fingerprint, Vec<Incarnation>> = Map::default();
+        for (incarnation, crash) in self.crashes.iter().filter(|(_, crash)| !crash.refuted) {
+            let suspects = crash.requests.iter();
+            let mut suspects =
+                suspects.filter(|request| standing(request) != Some(Standing::Cleared));
             if let (Some(request), None) = (suspects.next(), suspects.next()) {
-                alone.entry(*request).or_default().push(incarnation.clone());
+                by_suspect.entry(*request).or_default().push(incarnation.clone());
             }
         }
-        alone
+        by_suspect
     }
 
-    /// Forgets what is old or beyond the bounds.
-    fn shrink(&mut self, now: Instant) {
-        self.ends.retain(|_, end| now.since(end.at) < MEMORY);
-        self.entries.retain(|_, entry| now.since(entry.seen) < MEMORY);
-        while self.ends.len() > KEPT_ENDS {
-            let oldest = self.ends.iter().min_by_key(|(incarnation, end)| (end.at, *incarnation));
+    /// Drops crashes and entries that are expired or exceed the maximum numbers.
+    fn drop_expired_and_excess(&mut self, now: Instant) {
+        self.crashes.retain(|_, crash| now.since(crash.at) < RETENTION);
+        self.entries.retain(|_, entry| now.since(entry.seen) < RETENTION);
+        while self.crashes.len() > MAX_CRASHES {
+            let oldest =
+                self.crashes.iter().min_by_key(|(incarnation, crash)| (crash.at, *incarnation));
             let oldest = oldest.map(|(incarnation, _)| incarnation.clone());
-            oldest.inspect(|incarnation| drop(self.ends.remove(incarnation)));
+            oldest.inspect(|incarnation| drop(self.crashes.remove(incarnation)));
         }
-        while self.count(Standing::Cleared) > REQUESTS {
-            self.oldest(Standing::Cleared).inspect(|request| self.forget(*request));
+        while self.count(Standing::Cleared) > MAX_REQUESTS {
+            self.least_recently_seen(Standing::Cleared).inspect(|request| self.forget(*request));
         }
     }
 
-    /// Forgets what is old.
+    /// Drops expired crashes and entries.
     pub(super) fn expire(&mut self, now: Instant) {
         if self.next_expiry().is_some_and(|at| at <= now) {
-            self.shrink(now);
-            self.renew_view();
+            self.drop_expired_and_excess(now);
+            self.rebuild_view();
         }
     }
 
-    /// When something is forgotten.
+    /// When the next crash or entry expires.
     pub(super) fn next_expiry(&self) -> Option<Instant> {
-        let ends = self.ends.values().map(|end| end.at);
-        let entries = self.entries.values().map(|entry| entry.seen);
-        ends.chain(entries).min().map(|at| at + MEMORY)
+        let crash_times = self.crashes.values().map(|crash| crash.at);
+        let entry_times = self.entries.values().map(|entry| entry.seen);
+        crash_times.chain(entry_times).min().map(|at| at + RETENTION)
     }
 
-    fn renew_view(&mut self) {
+    fn rebuild_view(&mut self) {
         let entries = self.entries.iter();
         let refused = entries.filter(|(_, entry)| entry.standing == Standing::Quarantined);
-        let unrefuted = || self.ends.iter().filter(|(_, end)| !end.refuted);
+        let unrefuted = || self.crashes.iter().filter(|(_, crash)| !crash.refuted);
         let requests: Set<Fingerprint> =
-            unrefuted().flat_map(|(_, end)| end.requests.iter().copied()).collect();
+            unrefuted().flat_map(|(_, crash)| crash.requests.iter().copied()).collect();
         let undecided = |request: &Fingerprint| !self.entries.contains_key(request);
         let view = view::Quarantine {
             refused: refused.map(|(request, _)| *request).collect(),
             suspected: requests.into_iter().filter(undecided).collect(),
             ended: unrefuted()
-                .map(|(incarnation, end)| {
-                    (Arc::clone(&incarnation.server), ended(incarnation, end))
+                .map(|(incarnation, crash)| {
+                    (Arc::clone(&incarnation.server), crash_view(incarnation, crash))
                 })
                 .collect(),
         };
@@ -405,27 +421,28 @@
         }
     }
 
-    /// Stands for all that is held; 0 for nothing.
+    /// Digest of all crashes and entries, for comparison between instances; 0 if there are none.
     pub(super) fn digest(&self) -> u64 {
-        let ends = self.ends.iter().map(|(incarnation, end)| {
-            let requests: Vec<u8> = end.requests.iter().flat_map(|one| one.bytes()).collect();
+        let crash_hashes = self.crashes.iter().map(|(incarnation, crash)| {
+            let requests: Vec<u8> =
+                crash.requests.iter().flat_map(|request| request.bytes()).collect();
             let number = incarnation.number.to_be_bytes();
-            hash::of(&[incarnation.server.as_bytes(), &number, &requests, &[end.refuted.into()]])
+            hash::of(&[incarnation.server.as_bytes(), &number, &requests, &[crash.refuted.into()]])
         });
-        let entries = self.entries.iter().map(|(request, entry)| {
+        let entry_hashes = self.entries.iter().map(|(request, entry)| {
             hash::of(&[&request.bytes(), &[u8::from(entry.standing == Standing::Cleared)]])
         });
-        ends.chain(entries).fold(0, |all, one| all ^ one)
+        crash_hashes.chain(entry_hashes).fold(0, |combined, hash| combined ^ hash)
     }
 
-    /// Adds all that is held to a frame.
+    /// Writes all crashes and entries into a frame.
     pub(super) fn write(&self, now: Instant, frame: &mut Frame) {
-        let crashes = self.ends.iter().map(|(incarnation, end)| wire::Crash {
+        let crashes = self.crashes.iter().map(|(incarnation, crash)| wire::Crash {
             server: incarnation.server.to_string(),
             incarnation: incarnation.number,
-            requests: end.requests.iter().map(|one| one.bytes().into()).collect(),
-            refuted: end.refuted,
-            age_ms: millis(now.since(end.at)),
+            requests: crash.requests.iter().map(|request| request.bytes().into()).collect(),
+            refuted: crash.refuted,
+            age_ms: millis(now.since(crash.at)),
         });
         let entries = self.entries.iter().map(|(request, entry)| wire::Quarantine {
             request: request.bytes().into(),
@@ -438,15 +455,15 @@
     }
 }
 
-fn ended(incarnation: &Incarnation, end: &End) -> view::End {
-    view::End { incarnation: incarnation.number, at: end.at }
+fn crash_view(incarnation: &Incarnation, crash: &CrashReport) -> view::End {
+    view::End { incarnation: incarnation.number, at: crash.at }
 }
 
-/// Sorts, and keeps each once and no more than `most`.
-fn tidy<T: Ord>(list: &mut Vec<T>, most: usize) {
+/// Sorts the list, removes duplicates and keeps no more than `limit` items.
+fn sort_dedup_truncate<T: Ord>(list: &mut Vec<T>, limit: usize) {
     list.sort_unstable();
     list.dedup();
-    list.truncate(most);
+    list.truncate(limit);
 }
 
 fn millis(span: Duration) -> u32 {
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -1,4 +1,4 @@
-//! News in frames of bounded size.
+//! Splits publication news into frames of bounded size.
 
 use ladder_schema::bounds::PROTOCOL;
 use ladder_schema::publication::Record;
@@ -7,55 +7,58 @@
 
 use super::settings::Settings;
 
-/// Bytes of records in one frame; one record may be larger.
-const PART_BYTES: usize = 256 * 1024;
+/// Maximum size of the records and departures in one frame, in bytes; a single record may be
+/// larger.
+const MAX_RECORD_BYTES_PER_FRAME: usize = 256 * 1024;
 
-/// Records and departures that a peer may not know.
+/// Records and departures that a peer may not know yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct News {
     /// Records in force.
     pub records: Vec<Record>,
-    /// Servers seen leaving.
+    /// Servers that announced that they are leaving.
     pub departures: Vec<Departure>,
 }
 
 impl News {
-    /// There is nothing in it.
+    /// Whether there are no records and no departures.
     pub(super) const fn is_empty(&self) -> bool {
         self.records.is_empty() && self.departures.is_empty()
     }
 
-    /// The same in parts that each fit a frame.
+    /// Splits the news into parts that each fit into a frame.
     pub(super) fn parts(&self) -> Vec<Self> {
         let mut parts = vec![Self::default()];
-        let mut bytes = 0;
+        let mut part_bytes = 0;
         for record in &self.records {
-            bytes += record.encoded_len();
-            if bytes > PART_BYTES && parts.last().is_some_and(|part| !part.is_empty()) {
+            part_bytes += record.encoded_len();
+            if part_bytes > MAX_RECORD_BYTES_PER_FRAME
+                && parts.last().is_some_and(|part| !part.is_empty())
+            {
                 parts.push(Self::default());
-                bytes = record.encoded_len();
+                part_bytes = record.encoded_len();
             }
             parts.iter_mut().rev().take(1).for_each(|part| part.records.push(record.clone()));
         }
         for departure in &self.departures {
-            bytes += departure.encoded_len();
-            if bytes > PART_BYTES {
+            part_bytes += departure.encoded_len();
+            if part_bytes > MAX_RECORD_BYTES_PER_FRAME {
                 parts.push(Self::default());
-                bytes = departure.encoded_len();
+                part_bytes = departure.encoded_len();
             }
             parts.iter_mut().rev().take(1).for_each(|part| part.departures.push(departure.clone()));
         }
         parts
     }
 
-    /// Puts it into a frame. Records go before departures: a departure of a server that is not yet
-    /// known would be dropped.
+    /// Puts the news into a frame. Records are sent before departures, because a receiver drops
+    /// the departure of a server that it does not know.
     pub(super) fn into_frame(self, frame: Frame) -> Frame {
         Frame { records: self.records, departures: self.departures, ..frame }
     }
 }
 
-/// The frame with its sender named.
+/// The frame with this instance as its sender.
 pub(super) fn signed(settings: &Settings, generation: u64, frame: Frame) -> Frame {
     Frame {
         protocol: PROTOCOL,
--- a/crates/core/tests/fleet/evacuation.rs
+++ b/crates/core/tests/fleet/evacuation.rs
@@ -1,4 +1,4 @@
-//! Availability zones to whose servers nothing is to be sent.
+//! Evacuation of availability zones: their servers must receive no work.
 
 use std::time::Duration;
 
@@ -10,52 +10,59 @@
 use crate::harness::{Fleet, Node};
 use crate::publish;
 
-/// From the platform's acknowledgement until the order has to be in force everywhere.
+/// Maximum time after the platform acknowledges an evacuation until it must be in force at every
+/// instance.
 const APPLY: Duration = Duration::from_secs(3);
-/// Zone of the servers that tests publish.
+/// Zone of the servers that these tests publish.
 const ZONE: &str = "campanha";
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn order(zone: &str) -> Body {
+fn evacuation(zone: &str) -> Body {
     Body::Evacuation(Evacuation { zone: zone.to_owned() })
 }
 
-fn withdrawn(zone: &str) -> Body {
+fn withdrawal(zone: &str) -> Body {
     publish::tombstone(Kind::Evacuation, zone)
 }
 
-/// Whether an instance holds all servers for evacuated; all or none are.
-fn holds(node: &Node) -> bool {
+/// Whether all servers in an instance's view are marked as evacuated. Either all of them are or
+/// none.
+fn all_servers_evacuated(node: &Node) -> bool {
     let services = node.machine.view().services.values();
     let mut servers = services.flat_map(|service| &service.servers).peekable();
     assert!(servers.peek().is_some());
     servers.all(|server| server.evacuated)
 }
 
-fn everywhere(fleet: &Fleet, evacuated: bool) -> bool {
-    fleet.nodes.values().all(|node| holds(node) == evacuated)
+fn evacuation_is_everywhere(fleet: &Fleet, evacuated: bool) -> bool {
+    fleet.nodes.values().all(|node| all_servers_evacuated(node) == evacuated)
 }
 
-fn fleet(instances: usize) -> Fleet {
+fn settled_fleet(instances: usize) -> Fleet {
     let timing = Timing { contact: Duration::from_secs(4), ..Timing::default() };
     fleet_of(instances, 4, timing)
 }
 
-/// Guards against an order that some instances do not know, or that outlasts its withdrawal.
+/// Guards against an evacuation that is unknown to some instances, or that continues after its
+/// withdrawal.
 #[test]
-fn order_is_in_force_everywhere_until_it_is_withdrawn() {
+fn evacuation_is_in_force_everywhere_until_it_is_withdrawn() {
     for instances in [1, 9, 60] {
-        let mut fleet = fleet(instances);
+        let mut fleet = settled_fleet(instances);
         for revision in [1000, 2000] {
-            fleet.put(revision, order("a zone that nobody knows"));
-            fleet.put(revision + 1, order(ZONE));
-            fleet.until("the order", APPLY, |fleet| everywhere(fleet, true));
-            fleet.put(revision + 2, order("trindade"));
-            fleet.put(revision + 3, withdrawn(ZONE));
-            fleet.until("its withdrawal", APPLY, |fleet| everywhere(fleet, false));
+            fleet.put(revision, evacuation("a zone that nobody knows"));
+            fleet.put(revision + 1, evacuation(ZONE));
+            fleet.until("the evacuation is in force", APPLY, |fleet| {
+                evacuation_is_everywhere(fleet, true)
+            });
+            fleet.put(revision + 2, evacuation("trindade"));
+            fleet.put(revision + 3, withdrawal(ZONE));
+            fleet.until("its withdrawal is in force", APPLY, |fleet| {
+                evacuation_is_everywhere(fleet, false)
+            });
         }
         let known = fleet.nodes[&name(0)].machine.evacuations();
         assert_eq!(
@@ -65,28 +72,31 @@
     }
 }
 
-/// Guards against instances that the platform turns away and that go on as before.
+/// Guards against instances that are refused by the platform and therefore miss an evacuation.
 #[test]
-fn instances_that_the_platform_refuses_hear_of_it() {
-    let mut fleet = fleet(9);
+fn instances_refused_by_the_platform_learn_of_an_evacuation() {
+    let mut fleet = settled_fleet(9);
     let refused: Vec<String> = (0..6).map(name).collect();
     fleet.refuse(&refused);
-    fleet.put(1000, order(ZONE));
-    fleet.until("the order", APPLY, |fleet| everywhere(fleet, true));
-    fleet.put(1001, withdrawn(ZONE));
-    fleet.until("its withdrawal", APPLY, |fleet| everywhere(fleet, false));
+    fleet.put(1000, evacuation(ZONE));
+    fleet.until("the evacuation is in force", APPLY, |fleet| evacuation_is_everywhere(fleet, true));
+    fleet.put(1001, withdrawal(ZONE));
+    fleet
+        .until("its withdrawal is in force", APPLY, |fleet| evacuation_is_everywhere(fleet, false));
 }
 
-/// Guards against an instance that starts, serves and does not know the order yet.
+/// Guards against an instance that starts and serves before it knows the evacuation.
 #[test]
-fn starting_instance_knows_the_order_before_it_serves() {
-    for (up, count) in [(true, 4), (false, 4), (false, 1600)] {
-        let mut fleet = platform(3, count);
+fn starting_instance_knows_the_evacuation_before_it_serves() {
+    for (platform_up, service_count) in [(true, 4), (false, 4), (false, 1600)] {
+        let mut fleet = platform(3, service_count);
         (0..3).for_each(|at| fleet.start(&name(at), zone(at)));
         fleet.run(ms(5000));
-        fleet.put(10_000, order(ZONE));
-        fleet.until("the order", APPLY, |fleet| everywhere(fleet, true));
-        if !up {
+        fleet.put(10_000, evacuation(ZONE));
+        fleet.until("the evacuation is in force", APPLY, |fleet| {
+            evacuation_is_everywhere(fleet, true)
+        });
+        if !platform_up {
             fleet.silence_platform();
         }
         fleet.kill(&name(0), true);
@@ -94,21 +104,23 @@
         fleet.incarnation = 2;
         fleet.start(&name(0), zone(0));
         let ready = |fleet: &Fleet| fleet.nodes[&name(0)].machine.view().ready;
-        fleet.until("it serves", APPLY, ready);
+        fleet.until("the restarted instance is ready", APPLY, ready);
         fleet.run(ms(2000));
         let views = &fleet.nodes[&name(0)].views;
         for (at, view) in views.iter().filter(|(_, view)| view.ready) {
             let services = view.services.values();
             let mut servers = services.flat_map(|service| &service.servers);
-            let what = format!("platform up: {up}, {count} services, at {at:?}");
-            assert!(servers.all(|server| server.evacuated), "{what}");
+            let description =
+                format!("platform up: {platform_up}, {service_count} services, at {at:?}");
+            assert!(servers.all(|server| server.evacuated), "{description}");
         }
     }
 }
 
-/// Guards against a source that lags and brings an order back, or takes one back.
+/// Guards against an outdated source whose records restore a withdrawn evacuation or withdraw a
+/// current one.
 #[test]
-fn older_records_change_nothing() {
+fn outdated_records_do_not_change_an_evacuation() {
     let mut fleet = platform(1, 4);
     fleet.start(&name(0), zone(0));
     fleet.run(ms(5000));
@@ -117,33 +129,38 @@
         Event::Page(Page { head: revision, records, ..Page::default() })
     };
     for (revision, body, evacuated) in [
-        (1001, order(ZONE), true),
-        (1000, withdrawn(ZONE), true),
-        (1003, withdrawn(ZONE), false),
-        (1002, order(ZONE), false),
+        (1001, evacuation(ZONE), true),
+        (1000, withdrawal(ZONE), true),
+        (1003, withdrawal(ZONE), false),
+        (1002, evacuation(ZONE), false),
     ] {
         fleet.give(&name(0), page(revision, body));
-        assert_eq!(everywhere(&fleet, true), evacuated, "revision {revision}");
+        assert_eq!(evacuation_is_everywhere(&fleet, true), evacuated, "revision {revision}");
     }
 }
 
-/// Guards against an order that was withdrawn while the platform forgot its history.
+/// Guards against an evacuation that was withdrawn after the platform lost its change history:
+/// only a newer full listing shows the withdrawal.
 #[test]
-fn listing_without_the_order_withdraws_it() {
+fn full_listing_without_the_evacuation_withdraws_it() {
     let mut fleet = platform(1, 4);
     fleet.start(&name(0), zone(0));
     fleet.run(ms(5000));
-    fleet.put(1000, order(ZONE));
+    fleet.put(1000, evacuation(ZONE));
     fleet.run(ms(1000));
-    assert!(everywhere(&fleet, true));
+    assert!(evacuation_is_everywhere(&fleet, true));
     let node = &fleet.nodes[&name(0)];
-    let listed = |record: &&Record| !matches!(record.body, Some(Body::Evacuation(_)));
-    let records = node.machine.records().map(|(_, record)| &**record).filter(listed);
+    let is_not_evacuation = |record: &&Record| !matches!(record.body, Some(Body::Evacuation(_)));
+    let records = node.machine.records().map(|(_, record)| &**record).filter(is_not_evacuation);
     let records = records.cloned().collect();
     for (head, evacuated) in [(999, true), (1001, false)] {
         let records = Vec::clone(&records);
         let page = Page { head, records, whole: true, ..Page::default() };
         fleet.give(&name(0), Event::Page(page));
-        assert_eq!(everywhere(&fleet, true), evacuated, "a listing as of {head}");
+        assert_eq!(
+            evacuation_is_everywhere(&fleet, true),
+            evacuated,
+            "full listing as of revision {head}"
+        );
     }
 }
--- a/crates/core/tests/fleet/parts.rs
+++ b/crates/core/tests/fleet/parts.rs
@@ -1,4 +1,4 @@
-//! Views kept up to date in parts against views built whole.
+//! Incrementally updated views compared with views built from scratch.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -28,7 +28,8 @@
     ["trindade", "campanha", "bolhao"][usize::from(which % 3)]
 }
 
-/// A published change, or a withdrawal for an odd `detail`.
+/// A published record selected by the numbers: a withdrawal for an odd `detail`, otherwise a
+/// change.
 fn body(kind: u8, which: u8, detail: u8) -> Body {
     let withdraw = |kind, name: &str| publish::tombstone(kind, name);
     let state = match detail & 4 {
@@ -48,12 +49,12 @@
     }
 }
 
-fn rumour(which: u8, detail: u8) -> Frame {
+fn frame_with_update(which: u8, detail: u8) -> Frame {
     let liveness = [Liveness::Alive, Liveness::Suspect, Liveness::Dead, Liveness::Leaving]
         [usize::from(detail % 4)];
     let version = (1 + u64::from(detail / 64), u32::from(detail / 16));
-    let told = publish::rumour(&name(which), zone(which), version, liveness);
-    Frame { rumours: vec![told], ..publish::frame(&name(1), zone(1), 1) }
+    let update = publish::rumour(&name(which), zone(which), version, liveness);
+    Frame { rumours: vec![update], ..publish::frame(&name(1), zone(1), 1) }
 }
 
 fn by_name(view: &View) -> BTreeMap<&str, &Arc<Service>> {
@@ -61,26 +62,26 @@
     services.map(|service| (&*service.name, service)).collect()
 }
 
-struct Session {
+struct Harness {
     machine: Machine,
     now: Instant,
     revision: u64,
 }
 
-impl Session {
+impl Harness {
     fn new(placement: Placement) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings::builder(&name(0), &publish::address(&name(0)))
             .zone(zone(0))
             .placement(placement)
             .build();
-        let mut session = Self { machine: Machine::new(settings, now), now, revision: 0 };
+        let mut harness = Self { machine: Machine::new(settings, now), now, revision: 0 };
         let instances = (0..INSTANCES).map(|which| (3, which, 0));
         let entries = (0..SERVICES).map(|which| (0, which, 0));
         let servers = (0..8).map(|which| (1, which, which * 8));
-        let all: Vec<_> = instances.chain(entries).chain(servers).collect();
-        session.publish(&all);
-        session
+        let initial: Vec<_> = instances.chain(entries).chain(servers).collect();
+        harness.publish(&initial);
+        harness
     }
 
     fn publish(&mut self, bodies: &[(u8, u8, u8)]) {
@@ -90,27 +91,27 @@
         self.give(Event::Page(Page { head: self.revision, records, ..Page::default() }));
     }
 
-    fn step(&mut self, (choice, which, detail): (u8, u8, u8)) {
-        match choice % 8 {
-            0..4 => self.publish(&[(choice, which, detail)]),
-            4 => self.give(Event::Frame(Box::new(rumour(which, detail)))),
+    fn step(&mut self, (kind, which, detail): (u8, u8, u8)) {
+        match kind % 8 {
+            0..4 => self.publish(&[(kind, which, detail)]),
+            4 => self.give(Event::Frame(Box::new(frame_with_update(which, detail)))),
             5 => self.give(Event::ServerLeaving {
                 server: format!("server-{}", which % 8).into(),
                 incarnation: u64::from(detail),
             }),
-            6 => self.pass(Duration::from_millis(20 * u64::from(detail))),
-            _ => self.pass(Duration::from_millis(200 * u64::from(detail))),
+            6 => self.advance(Duration::from_millis(20 * u64::from(detail))),
+            _ => self.advance(Duration::from_millis(200 * u64::from(detail))),
         }
     }
 
-    /// Lets time pass tick by tick.
-    fn pass(&mut self, span: Duration) {
+    /// Advances time, with a tick whenever the machine asks for one.
+    fn advance(&mut self, span: Duration) {
         let end = self.now + span;
-        let mut idle = 0;
+        let mut wakes_without_progress = 0;
         while self.machine.next_wake() <= end {
-            let stays = self.machine.next_wake() <= self.now;
-            idle = if stays { idle + 1 } else { 0 };
-            assert!(idle < 100, "the machine wakes without end");
+            let is_no_progress = self.machine.next_wake() <= self.now;
+            wakes_without_progress = if is_no_progress { wakes_without_progress + 1 } else { 0 };
+            assert!(wakes_without_progress < 100, "the machine wakes without end");
             self.now = self.machine.next_wake().max(self.now);
             self.give(Event::Tick);
         }
@@ -120,44 +121,47 @@
     fn give(&mut self, event: Event) {
         self.machine.handle(self.now, event, &mut Vec::new());
         let whole = self.machine.rebuilt(self.now);
-        let kept = self.machine.view();
-        assert_eq!(by_name(kept), by_name(&whole));
-        assert_eq!(kept.service_keys.len(), kept.services.len());
-        assert_eq!(kept.indexes, whole.indexes);
-        assert_eq!(kept.neighbours, whole.neighbours);
-        assert_eq!(kept.revision, whole.revision);
+        let view = self.machine.view();
+        assert_eq!(by_name(view), by_name(&whole));
+        assert_eq!(view.service_keys.len(), view.services.len());
+        assert_eq!(view.indexes, whole.indexes);
+        assert_eq!(view.neighbours, whole.neighbours);
+        assert_eq!(view.revision, whole.revision);
     }
 }
 
-/// A server gets work although it left, or a dead instance stays the owner: a view is brought up to
-/// date only in the services that a change concerns, and one was overlooked. After any order of
-/// published changes, rumours, leaving servers and waits the view equals one built whole.
+/// Guards against views that miss a change because only the services affected by it are rebuilt: a
+/// server would get work although it left, or a dead instance would remain the owner. After any
+/// sequence of published changes, gossip updates, leaving servers and waits, the view must equal
+/// one built from scratch.
 #[test]
-fn a_view_kept_in_parts_equals_one_built_whole() {
+fn incrementally_updated_view_equals_one_built_from_scratch() {
     ladder_property::check_short(20, 150).with_type::<(bool, Vec<(u8, u8, u8)>)>().for_each(
         |(direct, steps)| {
             let placement = match direct {
                 true => Placement::Direct,
                 false => Placement::Owner,
             };
-            let mut session = Session::new(placement);
+            let mut harness = Harness::new(placement);
             for &step in steps.iter().take(40) {
-                session.step(step);
+                harness.step(step);
             }
         },
     );
 }
 
-/// Sweeps are collected in the wrong zone: a member says anew that it is alive, in the same life but
-/// from another zone, and the list of neighbours kept the old one until something else changed it.
+/// Guards against sweeps that are aggregated in the wrong zone. A member refuted within the same
+/// generation but from another zone, and the neighbour list kept the old zone until something else
+/// changed.
 #[test]
-fn a_refutation_from_another_zone_moves_the_neighbour() {
-    let mut session = Session::new(Placement::Direct);
-    // Both name the same member: the life's first refutation from one zone, its second from another.
+fn refutation_from_another_zone_updates_the_neighbour_list() {
+    let mut harness = Harness::new(Placement::Direct);
+    // Both steps are updates about the same member: its first refutation from one zone, its second
+    // from another.
     for (which, detail) in [(1, 0), (1 + INSTANCES, 16)] {
-        session.step((4, which, detail));
+        harness.step((4, which, detail));
     }
-    let view = session.machine.view();
+    let view = harness.machine.view();
     let moved = view.neighbours.iter().find(|neighbour| *neighbour.peer.name == *name(1));
     assert_eq!(moved.map(|neighbour| &*neighbour.zone), Some(zone(1 + INSTANCES)));
 }
--- a/crates/core/tests/fleet/quarantine.rs
+++ b/crates/core/tests/fleet/quarantine.rs
@@ -1,13 +1,14 @@
-//! Requests that end the servers that run them: what instances together hold of them.
+//! Quarantine of poison requests, which crash the servers that run them, across several instances.
 //!
-//! The pattern: one request is at every server that ends; others happen to be beside it.
+//! A poison request is open at every server that crashes; bystander requests are open at some of
+//! them by chance.
 
 use std::time::Duration;
 
 use bolero::TypeGenerator;
 use ladder_core::collections::Set;
 use ladder_core::control::Event;
-use ladder_core::control::quarantine::{Incarnation, MEMORY, REQUESTS, Standing};
+use ladder_core::control::quarantine::{Incarnation, MAX_REQUESTS, RETENTION, Standing};
 use ladder_core::control::settings::Timing;
 use ladder_core::fingerprint::Fingerprint;
 use ladder_core::view::Quarantine;
@@ -17,11 +18,11 @@
 
 use crate::harness::Fleet;
 
-/// From the third end until the request has to be refused everywhere.
+/// Maximum time after the third crash until every instance must refuse the request.
 const CONTACT: Duration = Duration::from_secs(4);
 
 const POISON: Fingerprint = Fingerprint(1);
-const BESIDE: Fingerprint = Fingerprint(2);
+const BYSTANDER: Fingerprint = Fingerprint(2);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -55,45 +56,53 @@
     !fleet.nodes.keys().any(|name| refuses(fleet, name, request))
 }
 
-/// A fleet that has settled.
-fn fleet(instances: usize) -> Fleet {
+/// A fleet whose instances are all ready and agree.
+fn settled_fleet(instances: usize) -> Fleet {
     let mut fleet = fleet_of(instances, 4, Timing { contact: CONTACT, ..Timing::default() });
     fleet.run(ms(2000));
     fleet
 }
 
-/// Ends three servers under the poison request, each seen by another instance.
-fn end_three(fleet: &mut Fleet, seen_by: [usize; 3]) {
-    for (number, at) in (0..).zip(seen_by) {
-        fleet.give(&name(at), crashed(number, &[POISON]));
+/// Reports three crashes under the poison request, each to the instance numbered in `observers`.
+fn crash_three_servers(fleet: &mut Fleet, observers: [usize; 3]) {
+    for (number, observer) in (0..).zip(observers) {
+        fleet.give(&name(observer), crashed(number, &[POISON]));
     }
 }
 
-/// Guards against a request that ends servers and comes again at instances that have not seen it.
+/// Guards against a poison request that is sent again through instances that have not seen its
+/// crashes.
 #[test]
-fn request_that_ended_three_servers_is_refused_at_all_instances() {
+fn request_that_crashed_three_servers_is_refused_at_all_instances() {
     for instances in [3, 9, 60] {
-        for seen_by in [[0, 0, 0], [0, 1, 2]] {
-            let mut fleet = fleet(instances);
-            end_three(&mut fleet, seen_by);
-            let what = format!("{instances} instances refuse what {seen_by:?} saw");
-            fleet.until(&what, CONTACT, |fleet| refused_everywhere(fleet, POISON));
+        for observers in [[0, 0, 0], [0, 1, 2]] {
+            let mut fleet = settled_fleet(instances);
+            crash_three_servers(&mut fleet, observers);
+            let description =
+                format!("{instances} instances refuse the request whose crashes {observers:?} saw");
+            fleet.until(&description, CONTACT, |fleet| refused_everywhere(fleet, POISON));
         }
     }
 }
 
-/// Guards against a poison request that comes to instances that were cut off or have just started.
+/// Guards against a poison request that is sent to instances that were disconnected or have just
+/// started.
 #[test]
-fn instances_that_start_or_return_learn_what_is_refused() {
-    let mut fleet = fleet(9);
+fn starting_and_reconnected_instances_learn_refused_requests() {
+    let mut fleet = settled_fleet(9);
     fleet.island = [name(7), name(8)].into();
-    end_three(&mut fleet, [0, 1, 2]);
-    fleet.until("the others refuse it", CONTACT, |fleet| {
+    crash_three_servers(&mut fleet, [0, 1, 2]);
+    fleet.until("the connected instances refuse it", CONTACT, |fleet| {
         (0..7).all(|at| refuses(fleet, &name(at), POISON))
     });
-    assert!((7..9).all(|at| !refuses(&fleet, &name(at), POISON)), "the cut holds");
+    assert!(
+        (7..9).all(|at| !refuses(&fleet, &name(at), POISON)),
+        "isolated instances must not know it yet"
+    );
     fleet.island.clear();
-    fleet.until("those that were cut off too", CONTACT, |fleet| refused_everywhere(fleet, POISON));
+    fleet.until("the reconnected instances refuse it", CONTACT, |fleet| {
+        refused_everywhere(fleet, POISON)
+    });
     for at in 0..8 {
         fleet.kill(&name(at), true);
     }
@@ -102,85 +111,111 @@
     for at in 0..4 {
         fleet.start(&name(at), "trindade");
     }
-    fleet.until("those that start learn it", CONTACT, |fleet| refused_everywhere(fleet, POISON));
+    fleet.until("the starting instances refuse it", CONTACT, |fleet| {
+        refused_everywhere(fleet, POISON)
+    });
 }
 
-/// What is said of some ends, and whether the poison request is refused then; the one beside it never is.
+/// Reported events, and whether they must quarantine the poison request. The bystander request
+/// must never be refused.
 struct Case {
     name: &'static str,
     events: Vec<Event>,
-    poison: bool,
+    poison_refused: bool,
 }
 
-fn alone(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
+fn crashes_alone(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
     range.map(|number| crashed(number, &[POISON]))
 }
 
-fn together(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
-    range.map(|number| crashed(number, &[POISON, BESIDE]))
+fn crashes_with_bystander(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
+    range.map(|number| crashed(number, &[POISON, BYSTANDER]))
 }
 
-fn case(name: &'static str, events: impl IntoIterator<Item = Event>, poison: bool) -> Case {
-    Case { name, events: events.into_iter().collect(), poison }
+fn case(name: &'static str, events: impl IntoIterator<Item = Event>, poison_refused: bool) -> Case {
+    Case { name, events: events.into_iter().collect(), poison_refused }
 }
 
 fn cases() -> Vec<Case> {
     let cleared = |request| [Event::Cleared(request)];
     vec![
-        case("two servers only", alone(0..2), false),
-        case("the same server seen by all", (0..5).flat_map(|_| alone(0..1)), false),
-        case("both at each", together(0..9), false),
-        case("both, and one is answered", together(0..9).chain(cleared(BESIDE)), true),
-        case("three alone, others together", alone(0..3).chain(together(3..9)), true),
-        case("the other is said to be there later", alone(0..2).chain(together(0..3)), false),
-        case("answered before", cleared(POISON).into_iter().chain(alone(0..9)), false),
-        case("answered after", alone(0..9).chain(cleared(POISON)), false),
-        case("a server incarnations", alone(0..3).chain([Event::Refuted(incarnation(1))]), false),
+        case("two servers only", crashes_alone(0..2), false),
+        case("same crash seen several times", (0..5).flat_map(|_| crashes_alone(0..1)), false),
+        case("both requests at each crash", crashes_with_bystander(0..9), false),
+        case(
+            "both at each crash, the bystander is answered",
+            crashes_with_bystander(0..9).chain(cleared(BYSTANDER)),
+            true,
+        ),
+        case(
+            "three crashes alone, others together",
+            crashes_alone(0..3).chain(crashes_with_bystander(3..9)),
+            true,
+        ),
+        case(
+            "the bystander is reported later",
+            crashes_alone(0..2).chain(crashes_with_bystander(0..3)),
+            false,
+        ),
+        case(
+            "answered before the crashes",
+            cleared(POISON).into_iter().chain(crashes_alone(0..9)),
+            false,
+        ),
+        case("answered after the crashes", crashes_alone(0..9).chain(cleared(POISON)), false),
+        case(
+            "one crash is refuted",
+            crashes_alone(0..3).chain([Event::Refuted(incarnation(1))]),
+            false,
+        ),
     ]
 }
 
-/// Guards against refusing what was only beside a poison request.
+/// Guards against refusing requests that only happened to be open at a server crashed by a poison
+/// request.
 #[test]
-fn only_what_ended_servers_alone_is_refused() {
-    for Case { name: case, events, poison } in cases() {
-        let mut fleet = fleet(3);
+fn bystanders_of_a_poison_request_are_not_refused() {
+    for Case { name: case, events, poison_refused } in cases() {
+        let mut fleet = settled_fleet(3);
         for (at, event) in events.into_iter().enumerate() {
             fleet.give(&name(at % 3), event);
             fleet.run(ms(20));
         }
         fleet.run(CONTACT);
-        let expected = match poison {
+        let as_expected = match poison_refused {
             true => refused_everywhere(&fleet, POISON),
             false => refused_nowhere(&fleet, POISON),
         };
-        assert!(expected, "{case}: the poison one");
-        assert!(refused_nowhere(&fleet, BESIDE), "{case}: the one beside it");
+        assert!(as_expected, "{case}: the poison request");
+        assert!(refused_nowhere(&fleet, BYSTANDER), "{case}: the bystander request");
     }
 }
 
-/// Guards against refusals that never end, and against such that end while the request keeps coming.
+/// Guards against refusals that never expire, and against refusals that expire while the request
+/// is still sent.
 #[test]
-fn refusals_end_when_nobody_asks_any_more() {
-    let mut fleet = fleet(3);
-    end_three(&mut fleet, [0, 1, 2]);
+fn refusal_expires_when_the_request_is_no_longer_sent() {
+    let mut fleet = settled_fleet(3);
+    crash_three_servers(&mut fleet, [0, 1, 2]);
     for _ in 0..3 {
-        fleet.run(MEMORY / 2);
+        fleet.run(RETENTION / 2);
         fleet.give(&name(1), Event::Asked(POISON));
-        assert!(refuses(&fleet, &name(1), POISON), "while it is asked for");
+        assert!(refuses(&fleet, &name(1), POISON), "while the request is still sent");
     }
-    fleet.run(MEMORY * 2);
+    fleet.run(RETENTION * 2);
     assert!(refused_nowhere(&fleet, POISON));
 }
 
-/// Guards against a flood of poison requests: unbounded tables, and peers that tell each other the same for ever.
+/// Guards against many poison requests at once: they must cause neither unbounded tables nor
+/// instances that send each other the same state forever.
 #[test]
-fn what_is_held_is_bounded() {
-    let mut fleet = fleet(3);
+fn quarantine_and_its_gossip_are_bounded() {
+    let mut fleet = settled_fleet(3);
     let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.sent).sum::<usize>();
-    let before = sent(&fleet);
+    let sent_before = sent(&fleet);
     fleet.run(ms(5000));
-    let quiet = sent(&fleet) - before;
-    for request in 0..2 * REQUESTS as u64 {
+    let idle_frames = sent(&fleet) - sent_before;
+    for request in 0..2 * MAX_REQUESTS as u64 {
         for number in 0..3 {
             let requests = [Fingerprint(u128::from(request) + 10)];
             fleet.give(&name(0), crashed(request * 3 + number, &requests));
@@ -188,20 +223,21 @@
         fleet.run(ms(5));
     }
     fleet.run(ms(1000));
-    let before = sent(&fleet);
+    let sent_before = sent(&fleet);
     fleet.run(ms(5000));
-    let told = sent(&fleet) - before;
-    assert!(told <= 2 * quiet, "{told} frames in 5 s, {quiet} before");
+    let frames = sent(&fleet) - sent_before;
+    assert!(frames <= 2 * idle_frames, "{frames} frames in 5 s, {idle_frames} before");
     for node in fleet.nodes.values() {
-        assert!(node.machine.quarantined().count() <= 2 * REQUESTS);
+        assert!(node.machine.quarantined().count() <= 2 * MAX_REQUESTS);
         assert!(node.machine.view().quarantine.ended.len() <= 64);
     }
 }
 
-/// Something that an instance sees. Numbers choose among what there is.
+/// A step of the test: an observation of an instance, a network cut or a wait in milliseconds. The
+/// numbers select among the servers and requests of the test.
 #[derive(Clone, Copy, Debug)]
 #[derive(TypeGenerator)]
-enum Seen {
+enum Step {
     Crashed {
         server: u8,
         first: u8,
@@ -216,8 +252,8 @@
     Asked {
         request: u8,
     },
-    /// Nobody hears this instance until the next one.
-    Alone,
+    /// Disconnects this instance from the others until another one is disconnected instead.
+    Isolated,
     Wait(u8),
 }
 
@@ -225,34 +261,35 @@
     Fingerprint(u128::from(number % 4))
 }
 
-/// Guards against instances that hold different requests refused, and against refusing answered ones.
+/// Guards against instances that disagree on which requests are refused, and against refusing
+/// answered requests.
 #[test]
-fn any_order_of_news_leads_to_the_same_quarantine() {
+fn any_order_of_events_leads_to_the_same_quarantine() {
     ladder_property::check(60)
-        .with_generator(bolero::produce::<Vec<(u8, Seen)>>().with().len(0_usize..=40))
-        .for_each(|seen| {
-            let mut fleet = fleet(3);
+        .with_generator(bolero::produce::<Vec<(u8, Step)>>().with().len(0_usize..=40))
+        .for_each(|steps| {
+            let mut fleet = settled_fleet(3);
             let mut cleared: Set<Fingerprint> = Set::default();
-            for (at, seen) in seen {
+            for (at, step) in steps {
                 let at = name(usize::from(at % 3));
-                let event = match *seen {
-                    Seen::Crashed { server, first, second } => {
+                let event = match *step {
+                    Step::Crashed { server, first, second } => {
                         let requests = [request(first), request(second)];
                         let incarnation = incarnation(u64::from(server % 8));
                         Event::Crashed { incarnation, at: fleet.now, requests: requests.to_vec() }
                     }
-                    Seen::Refuted { server } => Event::Refuted(incarnation(u64::from(server % 8))),
-                    Seen::Cleared { request: number } => {
+                    Step::Refuted { server } => Event::Refuted(incarnation(u64::from(server % 8))),
+                    Step::Cleared { request: number } => {
                         cleared.insert(request(number));
                         Event::Cleared(request(number))
                     }
-                    Seen::Asked { request: number } => Event::Asked(request(number)),
-                    Seen::Alone => {
+                    Step::Asked { request: number } => Event::Asked(request(number)),
+                    Step::Isolated => {
                         fleet.island = [at].into();
                         continue;
                     }
-                    Seen::Wait(steps) => {
-                        fleet.run(ms(u64::from(steps)));
+                    Step::Wait(millis) => {
+                        fleet.run(ms(u64::from(millis)));
                         continue;
                     }
                 };
@@ -260,19 +297,23 @@
             }
             fleet.island.clear();
             fleet.run(ms(20_000));
-            let held = |at: usize| {
+            let quarantine_of = |at: usize| {
                 let view = fleet.nodes[&name(at)].machine.view();
-                let mut held = Quarantine::clone(&view.quarantine);
-                // Each instance dates an end by the age at which it heard of it.
-                held.ended.values_mut().for_each(|end| end.at = Instant::default());
-                held
+                let mut quarantine = Quarantine::clone(&view.quarantine);
+                // Each instance dates a crash by the age that was reported to it, so the times
+                // differ.
+                quarantine.ended.values_mut().for_each(|crash| crash.at = Instant::default());
+                quarantine
             };
             for at in 0..3 {
-                assert_eq!(held(at), held(0), "instance {at}");
-                assert!(held(at).refused.is_disjoint(&cleared), "an answered request is refused");
+                assert_eq!(quarantine_of(at), quarantine_of(0), "instance {at}");
+                assert!(
+                    quarantine_of(at).refused.is_disjoint(&cleared),
+                    "an answered request is refused"
+                );
             }
             let entries = fleet.nodes[&name(0)].machine.quarantined();
-            let standing = entries.filter(|(_, entry)| entry.standing == Standing::Quarantined);
-            assert_eq!(standing.count(), held(0).refused.len());
+            let quarantined = entries.filter(|(_, entry)| entry.standing == Standing::Quarantined);
+            assert_eq!(quarantined.count(), quarantine_of(0).refused.len());
         });
 }
--- a/crates/core/tests/fleet/replacement.rs
+++ b/crates/core/tests/fleet/replacement.rs
@@ -1,4 +1,4 @@
-//! Instances are replaced while all serve.
+//! Replacement of instances while all instances serve.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 use crate::harness::Fleet;
 use crate::publish;
 
-/// Connections of a primary candidate to a server with the limit of the tests.
-const PRIMARY: u32 = 4;
+/// Connections of a primary candidate to one server with the connection limit of these tests.
+const PRIMARY_SHARE: u32 = 4;
 
-/// Replaces all instances one after the other by new ones with new names; each new one runs for
-/// `ahead` before the old one drains. Returns the fleet when it agrees again.
-fn replace_all(ahead: Duration) -> Fleet {
+/// Replaces all instances one after the other by new ones with new names. Each new instance runs
+/// for `overlap` before the old one drains. Returns the fleet when its instances agree again.
+fn replace_all(overlap: Duration) -> Fleet {
     let mut fleet = fleet(9, 20);
     let mut revision = 1000;
     let mut publish = |fleet: &mut Fleet, body: Body| {
@@ -27,7 +27,7 @@
         let (old, new) = (name(at), name(100 + at));
         fleet.start(&new, zone(at));
         publish(&mut fleet, publish::instance(&new, zone(at), State::Live));
-        fleet.run(ahead);
+        fleet.run(overlap);
         publish(&mut fleet, publish::instance(&old, zone(at), State::Leaving));
         fleet.give(&old, Event::Drain);
         fleet.until("left", Duration::from_secs(3), |fleet| nobody_uses(fleet, &old));
@@ -43,42 +43,49 @@
     fleet
 }
 
-/// A rolling replacement faster than lists spread by rule. Old and new instances are connected
-/// together, and no server may see more connections than it takes.
+/// A rolling replacement that is faster than a new list is allowed to spread. Old and new
+/// instances hold connections at the same time, and no server may have more connections than its
+/// limit.
 #[test]
-fn rolling_replacement_holds_the_caps() {
+fn rolling_replacement_keeps_connection_limits() {
     let fleet = replace_all(Duration::from_millis(700));
     assert_caps(&fleet);
 }
 
 /// A rolling replacement that waits until each new instance is ready. No service may be owned by
-/// an instance that has not got its connections yet.
+/// an instance whose connection shares have not grown yet.
 #[test]
-fn rolling_replacement_keeps_owners_connected() {
+fn rolling_replacement_never_makes_an_owner_without_its_connections() {
     let fleet = replace_all(Duration::from_millis(2500));
     assert_caps(&fleet);
     assert_owners_have_shares(&fleet);
 }
 
-/// A new instance becomes the best candidate of a service. It must not own it with the few
-/// connections of a spare, or with none, as long as another has more.
+/// Asserts that no instance owned a service with only a spare's connections, or none, while it was
+/// ready. This could happen when a new instance becomes the best candidate of a service.
 fn assert_owners_have_shares(fleet: &Fleet) {
-    for (own, node) in &fleet.nodes {
-        let ready = node.views.iter().filter(|(_, view)| view.ready);
-        for (at, view) in ready {
-            let owned = |service: &&Arc<Service>| service.owner().is_some_and(|owner| owner.local);
-            for service in view.services.values().filter(owned) {
+    for (owner_name, node) in &fleet.nodes {
+        let ready_views = node.views.iter().filter(|(_, view)| view.ready);
+        for (built_at, view) in ready_views {
+            let is_owned_here =
+                |service: &&Arc<Service>| service.owner().is_some_and(|owner| owner.local);
+            for service in view.services.values().filter(is_owned_here) {
                 let share = service.servers[0].share;
-                assert!(share >= PRIMARY, "{own} owns {} with {share} at {at:?}", service.name);
+                assert!(
+                    share >= PRIMARY_SHARE,
+                    "{owner_name} owns {} with {share} at {built_at:?}",
+                    service.name
+                );
             }
         }
     }
 }
 
-/// Half of the fleet is replaced at once, and half of the instances learn of the new list only
-/// a second later. Meanwhile the others must not take the connections that those still hold.
+/// Half of the fleet is replaced at once, and half of the instances learn of the new list only a
+/// second later. Until then the other instances must not take the connections that these still
+/// hold.
 #[test]
-fn sudden_replacement_holds_the_caps() {
+fn sudden_replacement_keeps_connection_limits() {
     let mut fleet = fleet(24, 20);
     let replaced = 0..12;
     fleet.island = (0..24).filter(|at| at % 2 == 0).map(name).collect();
--- a/crates/core/tests/fleet/silence.rs
+++ b/crates/core/tests/fleet/silence.rs
@@ -1,4 +1,5 @@
-//! The platform's answers are lost for a while; what it acknowledges afterwards comes into force.
+//! Answers of the platform are lost for a while; changes that the platform acknowledges afterwards
+//! must be applied in time.
 
 use std::time::Duration;
 
@@ -8,62 +9,68 @@
 use crate::harness::Fleet;
 use crate::publish;
 
-/// From the return of the platform's answers until its readers have to know what it holds.
+/// Maximum time after the platform's answers return until its readers must know its records.
 const CONTACT: Duration = Duration::from_secs(4);
-/// From the acknowledgement of a change until it has to be in force everywhere.
+/// Maximum time after the acknowledgement of a change until it must be in force at every instance.
 const APPLY: Duration = Duration::from_secs(3);
 
 struct Case {
     name: &'static str,
     /// How long answers are lost.
     silence: Duration,
-    /// From the answers' return to the change.
-    change: Duration,
+    /// Time from the return of the answers to the change.
+    change_after: Duration,
 }
 
-/// Callers were refused with 404 on a route that had been in force for 3 s by the platform's own
-/// acknowledgement. The platform had answered nobody for six seconds. After its first failed read each
-/// reader asked again for news, to wait up to 4 s, and that answer was lost with the others; until the
-/// wait and a second of patience were over nobody asked the platform, which had been back for 4 s.
-/// Proved by the platform's account of calls: one of each reader early in the silence, none after it
-/// until all readers came back within half a second.
+/// Guards against readers that notice too late that the platform's answers were lost: callers were
+/// refused with 404 on a route that had been in force for 3 s by the platform's acknowledgement.
+/// The platform had answered no reader for 6 s. After its first failed read, each reader had
+/// started another read that waits up to 4 s for news, and that answer was lost too. Until this
+/// wait and one more second had passed, no instance read from the platform, although it had been
+/// back for 4 s.
 ///
-/// Each case plays with the silence beginning at any moment of a reader's wait, in fleets with instances
-/// that stand in for the readers and in fleets of readers alone.
+/// Each case runs with the loss beginning at different moments of a reader's wait, in fleets with
+/// instances that can stand in for the readers and in fleets of readers only.
 #[test]
-fn lost_answers_are_found_out_in_time() {
+fn changes_apply_in_time_after_lost_platform_answers() {
     let cases = [
-        Case { name: "connections fall silent", silence: ms(1), change: ms(10) },
-        Case { name: "half a second", silence: ms(500), change: ms(900) },
-        Case { name: "one wait", silence: ms(5800), change: ms(500) },
-        Case { name: "longer than any pause grows", silence: ms(30_000), change: ms(10) },
+        Case { name: "connections are silently lost", silence: ms(1), change_after: ms(10) },
+        Case { name: "half a second", silence: ms(500), change_after: ms(900) },
+        Case { name: "about one wait of a read", silence: ms(5800), change_after: ms(500) },
+        Case {
+            name: "longer than the longest pause between reads",
+            silence: ms(30_000),
+            change_after: ms(10),
+        },
     ];
-    let mut late = Vec::new();
+    let mut late_changes = Vec::new();
     let sizes = [6, 9];
-    let plays = cases.iter().flat_map(|case| sizes.map(|instances| (case, instances)));
-    for (&Case { name, silence, change }, instances) in plays {
+    let runs = cases.iter().flat_map(|case| sizes.map(|instances| (case, instances)));
+    for (&Case { name, silence, change_after }, instances) in runs {
         let timing = Timing { contact: CONTACT, ..Timing::default() };
-        let phases = (0..10).filter(|phase| {
+        let late_phases = (0..10).filter(|phase| {
             let mut fleet = fleet_of(instances, 4, timing);
             fleet.run(ms(phase * 500));
             fleet.lose_answers();
             fleet.run(silence);
             fleet.return_answers();
-            fleet.run(change);
+            fleet.run(change_after);
             fleet.put(1000, publish::entry("gate-3", 7));
-            fleet.run(CONTACT.saturating_sub(change).max(APPLY));
+            fleet.run(CONTACT.saturating_sub(change_after).max(APPLY));
             !in_force(&fleet, "gate-3", 7)
         });
-        late.extend(phases.map(|phase| format!("{instances} instances, {name}, phase {phase}")));
+        late_changes.extend(
+            late_phases.map(|phase| format!("{instances} instances, {name}, phase {phase}")),
+        );
     }
-    assert!(late.is_empty(), "changes not in force in time: {late:#?}");
+    assert!(late_changes.is_empty(), "changes not in force in time: {late_changes:#?}");
 }
 
-/// The platform turns all of its readers away and serves whoever else asks, as it may. The others heard
-/// from their peers, who had nothing to tell, and asked nothing: a change was in force nowhere until the
-/// platform took its readers back. Found by asking where else nobody asks a platform that answers.
+/// Guards against a platform that refuses all of its readers but serves the other instances. These
+/// received frames from peers without news and read nothing themselves, so a change was in force
+/// nowhere until the platform accepted its readers again.
 #[test]
-fn others_ask_when_the_readers_are_refused() {
+fn other_instances_read_when_the_platform_refuses_all_readers() {
     for phase in 0..8 {
         let mut fleet = fleet_of(24, 4, Timing::default());
         fleet.run(ms(phase * 250));
@@ -72,24 +79,25 @@
         assert_eq!(readers.len(), 6, "two in each of three zones");
         fleet.refuse(&readers);
         fleet.put(1000, publish::entry("gate-3", 7));
-        let what = format!("phase {phase}: a change while all readers are refused");
-        fleet.until(&what, APPLY, |fleet| in_force(fleet, "gate-3", 7));
+        let description = format!("phase {phase}: change while all readers are refused");
+        fleet.until(&description, APPLY, |fleet| in_force(fleet, "gate-3", 7));
     }
 }
 
-/// The same must not make all instances ask while the platform answers nobody.
+/// While the platform answers no instance, only a limited number of instances may read from it.
 #[test]
-fn few_ask_a_platform_that_is_down() {
+fn few_instances_read_while_the_platform_is_down() {
     let mut fleet = fleet_of(72, 4, Timing::default());
     let reads = |fleet: &Fleet| fleet.nodes.values().map(|node| node.reads).sum::<usize>();
     fleet.silence_platform();
     fleet.run(ms(10_000));
-    let before = reads(&fleet);
+    let reads_before = reads(&fleet);
     fleet.run(ms(10_000));
-    // Eight in each of three zones, each at most once in half of the longest pause, an eighth of 4 s.
-    let most = 8 * 3 * 20;
-    let asked = reads(&fleet) - before;
-    assert!(asked <= most, "{asked} reads in 10 s, at most {most}");
+    // Eight instances in each of three zones read. After a failure each waits at least half of the
+    // longest pause between reads: an eighth of the contact time of 4 s, which is 0.5 s.
+    let max_reads = 8 * 3 * 20;
+    let new_reads = reads(&fleet) - reads_before;
+    assert!(new_reads <= max_reads, "{new_reads} reads in 10 s, at most {max_reads}");
 }
 
 const fn ms(millis: u64) -> Duration {
