--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -26,8 +26,9 @@
 
 /// Number of ring successors that an instance probes.
 pub const PROBED_SUCCESSORS: usize = 3;
-/// Number of probed ring successors that may be in any zone. With only one, the loss of a zone is
-/// detected one member at a time, because the next member on the ring is often lost too.
+/// Number of probed ring successors that may be in any zone; the others are in the zone of this
+/// instance. With only one, the loss of a zone is detected one member at a time, because the next
+/// member on the ring is often lost too.
 const PROBED_IN_ANY_ZONE: usize = 2;
 /// How long a dead or leaving member that is not published is remembered, in multiples of
 /// `Timing::dead`. Forgetting it earlier would let gossip updates still in transit add it again.
@@ -39,9 +40,9 @@
 pub enum Standing {
     /// The instance is dead, leaving or unknown.
     Gone,
-    /// The instance is suspected. If no candidate of a service has a better standing, the
-    /// suspicion is more likely wrong than right, and an unanswered request to a suspect costs no
-    /// more than having no owner.
+    /// The instance is suspected of being dead. If no candidate of a service has a better
+    /// standing, the suspicion is more likely wrong than right, and an unanswered request to a
+    /// suspect costs no more than having no owner.
     Suspect,
     /// The instance is alive, but its generation is so new that its connection shares may not have
     /// been granted yet.
@@ -53,15 +54,15 @@
 /// What a received frame implies about its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Life {
-    /// The sender's state did not change.
+    /// The frame changes nothing that is known about its sender.
     Known,
     /// The sender is a member or a generation that was not known before.
     Joined,
-    /// The sender was suspected or considered dead. The update must be sent to it so that it
-    /// refutes.
+    /// The sender was suspected or considered dead. The gossip update must be sent to it so that
+    /// it refutes.
     Doubted(Rumour),
     /// The frame is from an earlier generation of the member, or from a later process whose host's
-    /// clock was set back. The update with the known generation must be sent to the sender.
+    /// clock was set back. The gossip update with the known generation must be sent to the sender.
     Outlived(Rumour),
     /// The frame is not from a usable member: it names this instance as sender, or has no sender
     /// name or no address to reply to.
@@ -235,9 +236,9 @@
         self.note_change();
     }
 
-    /// A suspected member that sends a frame is alive. A member considered dead must also refute:
-    /// its frame may have been sent before its death, and no instance would detect that death a
-    /// second time.
+    /// Updates the liveness of a member that sent a frame. A suspected member is then alive. A
+    /// member considered dead must also refute: its frame may have been sent before its death, and
+    /// no instance would detect that death a second time.
     fn reconsider_on_frame(&mut self, now: Instant, name: &str) -> Life {
         let Some(member) = self.members.get_mut(name) else {
             return Life::Ignored;
@@ -280,13 +281,13 @@
             let same_zone = |member: &&Member| member.zone == self.own.zone;
             self.zone_peers = self.reachable().filter(same_zone).count();
             let probed = ring_successors(&self.own, self.reachable());
-            self.detector.set_neighbours(now, probed);
+            self.detector.set_probed(now, probed);
         }
     }
 
     /// The members to probe now.
     pub fn neighbours(&self) -> impl Iterator<Item = &Member> {
-        let names = self.detector.neighbours();
+        let names = self.detector.probed();
         names.filter_map(|name| self.members.get(name))
     }
 
--- a/crates/core/src/control/membership/member.rs
+++ b/crates/core/src/control/membership/member.rs
@@ -34,11 +34,11 @@
 /// One member of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Unique name.
+    /// Unique name of the member.
     pub name: Arc<str>,
     /// IP address and port of the member's peer socket.
     pub address: Arc<str>,
-    /// Availability zone.
+    /// Availability zone of the member.
     pub zone: Arc<str>,
     /// Processor capacity that the member may use, in thousandths of a core; 0 while it is not
     /// known.
@@ -49,7 +49,7 @@
     ///
     /// Invariant: never decreases.
     pub generation: u64,
-    /// Counter that the member itself increases to refute a suspicion.
+    /// Counter that the member itself increases to refute a suspicion that it is dead.
     ///
     /// Invariant: never decreases within a generation.
     pub refutation: u32,
@@ -57,15 +57,15 @@
     ///
     /// Invariant: leaving is final for a generation.
     pub liveness: Liveness,
-    /// When the liveness last changed.
+    /// When the member's liveness last changed.
     pub liveness_since: Instant,
-    /// Evidence that the liveness is based on.
+    /// Evidence that the member's liveness is based on.
     pub why: Evidence,
     /// When this instance first learned of the member's current generation.
     pub generation_known_at: Instant,
     /// When the last frame of the member was received.
     pub last_frame_at: Option<Instant>,
-    /// The member's state in the published list; `None` if it is not listed.
+    /// State of the member in the published list of instances; `None` if it is not listed.
     pub published_state: Option<State>,
 }
 
@@ -107,7 +107,7 @@
             && self.millicores == other.millicores
     }
 
-    /// Sets the liveness, when it changed and the evidence for it.
+    /// Sets the member's liveness, the time of its change and the evidence for it.
     pub(super) fn set_liveness(&mut self, now: Instant, liveness: Liveness, why: Evidence) {
         self.liveness = liveness;
         self.liveness_since = now;
@@ -141,7 +141,7 @@
         rumour.liveness() != Liveness::Unspecified && received > known
     }
 
-    /// Replaces the known state with that of a gossip update.
+    /// Replaces the known state of the member with that of a gossip update.
     pub(super) fn apply_update(&mut self, now: Instant, rumour: &Rumour) {
         if self.generation > 0 && self.generation < rumour.generation {
             self.generation_known_at = now;
--- a/crates/core/src/control/membership/queue.rs
+++ b/crates/core/src/control/membership/queue.rs
@@ -4,15 +4,15 @@
 
 /// Number of gossip updates in one frame.
 pub(super) const UPDATES_PER_FRAME: usize = 16;
-/// How often one instance sends a gossip update, as a factor of the binary logarithm of the fleet
-/// size. A factor of 1 would reach every instance only if each transmission reached a new one; the
-/// rest compensates for overlap and lost frames.
-const TRANSMITS_PER_DOUBLING: u32 = 3;
-/// How often all instances of a zone together send a gossip update to other zones, for each time
-/// that one instance sends the update at all.
-const CROSS_ZONE_TRANSMITS: u32 = 2;
+/// Factor that is multiplied by the binary logarithm of the fleet size to get how often one
+/// instance sends a gossip update. A factor of 1 would reach every instance only if each
+/// transmission reached a new one; the rest compensates for overlap and lost frames.
+const TRANSMIT_FACTOR: u32 = 3;
+/// How often all instances of a zone together send a gossip update to other zones, as a multiple
+/// of how often one instance sends it at all.
+const CROSS_ZONE_TRANSMIT_FACTOR: u32 = 2;
 
-/// Number of instances that gossip updates must reach.
+/// Numbers of instances that a gossip update must reach.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GossipScope {
     /// Number of instances in the fleet.
@@ -22,19 +22,21 @@
 }
 
 impl GossipScope {
-    /// How often one instance sends a gossip update.
+    /// How often one instance sends a gossip update in total.
     fn transmit_limit(self) -> u32 {
-        TRANSMITS_PER_DOUBLING * (usize::BITS - self.fleet.leading_zeros())
+        TRANSMIT_FACTOR * (usize::BITS - self.fleet.leading_zeros())
     }
 
     /// How often one instance sends a gossip update to other zones.
     ///
     /// Traffic between zones is billed by the byte. If each of dozens of instances in a zone sent
     /// every update to random peers, every other zone would receive it hundreds of times. In a
-    /// zone of one or two instances each sends the update to other zones as often as at all.
+    /// zone of one or two instances this limit equals that of all transmissions.
     fn cross_zone_transmit_limit(self) -> u32 {
         let zone = u32::try_from(self.zone).unwrap_or(u32::MAX).max(1);
-        (self.transmit_limit() * CROSS_ZONE_TRANSMITS).div_ceil(zone).min(self.transmit_limit())
+        (self.transmit_limit() * CROSS_ZONE_TRANSMIT_FACTOR)
+            .div_ceil(zone)
+            .min(self.transmit_limit())
     }
 }
 
@@ -43,14 +45,14 @@
 struct QueuedUpdate {
     name: Arc<str>,
     transmits: u32,
-    /// How many of `transmits` went to other zones.
+    /// Number of transmissions of the update that went to other zones; included in `transmits`.
     cross_zone_transmits: u32,
 }
 
 /// Members whose state is to be sent to peers, with the number of transmissions so far.
 #[derive(Clone, Debug, Default)]
 pub(super) struct GossipQueue {
-    /// Invariant: contains each name once, in order of transmissions, fewest first.
+    /// Invariant: contains each member name once, in order of transmissions, fewest first.
     updates: Vec<QueuedUpdate>,
 }
 
--- a/crates/core/src/control/membership/watch.rs
+++ b/crates/core/src/control/membership/watch.rs
@@ -1,4 +1,4 @@
-//! Detects silent neighbours, and when the cause is this instance's own fault.
+//! Detects silent probed members, and whether this instance itself is the cause of the silence.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,9 +12,9 @@
 /// Which end is at fault for a broken link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkFault {
-    /// The peer.
+    /// The peer of the link is at fault.
     Peer,
-    /// This instance.
+    /// This instance is at fault, because its network failed.
     Own,
 }
 
@@ -26,19 +26,19 @@
     frame_received: bool,
 }
 
-/// Tracks which probed neighbours are silent, and whether their silence is reliable evidence.
+/// Tracks which probed members are silent, and whether their silence is reliable evidence.
 #[derive(Clone, Debug)]
 pub(super) struct FailureDetector {
     /// Probed members, each with the time from which its silence counts.
-    neighbours: BTreeMap<Arc<str>, Instant>,
-    /// Set while suspicions are withheld. If most neighbours are silent at once, or after a
+    probed: BTreeMap<Arc<str>, Instant>,
+    /// Set while suspicions are withheld. If most probed members are silent at once, or after a
     /// process pause, the cause is this instance: its network is down or it did not run. The
     /// failure shows as many simultaneous suspects. No suspicion is raised until a received frame
     /// proves that this instance receives again, or until a full suspicion period has passed
     /// during which this instance ran.
     hold: Option<SuspicionHold>,
-    /// Members whose link broke within the last suspicion period, with the time. Kept by name,
-    /// because a crashed peer may be dialled and lost many times.
+    /// Members whose link broke within the last suspicion period, with the time of the break. Kept
+    /// by name, because a crashed peer may be dialled and lost many times.
     broken_links: BTreeMap<Arc<str>, Instant>,
     last_tick: Instant,
 }
@@ -46,26 +46,21 @@
 impl FailureDetector {
     /// Creates a detector that watches no member yet.
     pub(super) const fn new(now: Instant) -> Self {
-        Self {
-            neighbours: BTreeMap::new(),
-            hold: None,
-            broken_links: BTreeMap::new(),
-            last_tick: now,
-        }
+        Self { probed: BTreeMap::new(), hold: None, broken_links: BTreeMap::new(), last_tick: now }
     }
 
     /// Names of the probed members.
-    pub(super) fn neighbours(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.neighbours.keys()
+    pub(super) fn probed(&self) -> impl Iterator<Item = &Arc<str>> {
+        self.probed.keys()
     }
 
     /// Sets the members to probe. The silence of members that were already probed continues to
     /// count.
-    pub(super) fn set_neighbours(&mut self, now: Instant, names: Vec<Arc<str>>) {
-        let old = std::mem::take(&mut self.neighbours);
+    pub(super) fn set_probed(&mut self, now: Instant, names: Vec<Arc<str>>) {
+        let old = std::mem::take(&mut self.probed);
         for name in names {
             let since = old.get(&name).copied().unwrap_or(now);
-            self.neighbours.insert(name, since);
+            self.probed.insert(name, since);
         }
     }
 
@@ -78,7 +73,7 @@
 
     /// Restarts all silence periods now and withholds suspicions.
     pub(super) fn resumed(&mut self, now: Instant) {
-        for since in self.neighbours.values_mut() {
+        for since in self.probed.values_mut() {
             *since = now;
         }
         self.broken_links.clear();
@@ -86,15 +81,16 @@
         self.last_tick = now;
     }
 
-    /// Whether this tick is so late that this instance cannot have received frames in the
-    /// meantime.
+    /// Whether this tick is so late that the process must have been paused and could not receive
+    /// frames in the meantime.
     pub(super) fn tick_is_late(&mut self, now: Instant, timing: Timing) -> bool {
         let gap = now.since(self.last_tick);
         self.last_tick = now;
         gap > timing.probe * 2 + timing.suspect / 2
     }
 
-    /// Whether suspicions are withheld; ends the hold if its condition is met.
+    /// Whether suspicions are withheld. Ends the hold if a frame was received or a suspicion
+    /// period has passed since it began.
     pub(super) fn withholds_suspicions(&mut self, now: Instant, timing: Timing) -> bool {
         let Some(hold) = self.hold else {
             return false;
@@ -105,7 +101,7 @@
         self.hold.is_some()
     }
 
-    /// The neighbours to suspect now.
+    /// Probed members to suspect now: alive so far, but silent for the suspicion period.
     pub(super) fn newly_silent(
         &mut self,
         now: Instant,
@@ -117,9 +113,9 @@
             let from = last_frame_at.map_or(**since, |last_frame_at| last_frame_at.max(**since));
             now.since(from) >= timing.suspect
         };
-        let names = self.neighbours.iter().filter(silent).map(|(name, _)| name);
+        let names = self.probed.iter().filter(silent).map(|(name, _)| name);
         let silent: Vec<Arc<str>> = names.cloned().collect();
-        let is_majority = silent.len() >= 2 && silent.len() * 2 > self.neighbours.len();
+        let is_majority = silent.len() >= 2 && silent.len() * 2 > self.probed.len();
         let fresh: Vec<_> = silent.into_iter().filter(|name| is_alive(members, name)).collect();
         if fresh.is_empty() {
             return fresh;
@@ -135,8 +131,8 @@
         fresh
     }
 
-    /// Which end is at fault for a broken link. This instance is while suspicions are withheld,
-    /// and if most links break within one suspicion period.
+    /// Which end is at fault for a broken link: this instance while suspicions are withheld or if
+    /// most links break within one suspicion period, otherwise the peer.
     pub(super) fn classify_link_loss(
         &mut self,
         now: Instant,
--- a/crates/core/src/control/placement.rs
+++ b/crates/core/src/control/placement.rs
@@ -26,16 +26,17 @@
 
 use super::hash;
 
-/// Number of zones whose best instance is a primary candidate of a service. 4 cover the loss of
-/// any one zone, and a server has connections from only a few instances however large the fleet
-/// is.
+/// Maximum number of primary candidates of a service, each the best instance of its zone. With 4,
+/// the loss of any one zone is covered, and a server has connections from only a few instances
+/// however large the fleet is.
 pub const MAX_PRIMARIES: usize = 4;
 /// Number of candidates of a service, spares included.
 pub const CANDIDATES: usize = 2 * MAX_PRIMARIES;
 /// Number of equal parts of a connection limit: one for each primary with its spare, and one in
 /// reserve for instances whose list of instances differs.
 const LIMIT_PARTS: u32 = MAX_PRIMARIES as u32 + 1;
-/// Upper bound of a primary candidate's connections to one server; more gain nothing.
+/// Upper bound of a candidate's connections to one server; a primary candidate gains nothing from
+/// more.
 const MAX_PRIMARY_SHARE: u32 = 8;
 /// With direct placement, one part in this many of a server's connections is reserved for
 /// instances whose list of instances is outdated.
@@ -46,9 +47,9 @@
 /// A published instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Instance<'a> {
-    /// Unique name.
+    /// Unique name of the instance.
     pub name: &'a str,
-    /// Availability zone.
+    /// Availability zone of the instance.
     pub zone: &'a str,
 }
 
@@ -78,7 +79,7 @@
     hash::of(&[service.as_bytes(), instance.as_bytes()])
 }
 
-/// Number of connections that a primary and a spare candidate may each hold to one server.
+/// Numbers of connections that a primary and a spare candidate may each hold to one server.
 ///
 /// Invariant: `(MAX_PRIMARIES + 1) * (primary + spare)` does not exceed the server's limit, and a
 /// primary's share is not less than a spare's.
@@ -108,8 +109,8 @@
     RoleShares { primary: 1, primaries: limit.saturating_sub(1) as usize, spare: 0 }
 }
 
-/// Share of each spare candidate: about a seventh of the limit for all of them, and at least one
-/// connection each if the primaries keep more than that each.
+/// Share of each spare candidate, in connections: about a seventh of the limit for all spares
+/// together, and at least one each. Zero if the primaries would not keep more than that each.
 fn spare_share(limit: u32) -> u32 {
     let spare = (limit / SPARE_DIVISOR / LIMIT_PARTS).clamp(1, MAX_PRIMARY_SHARE);
     let primaries_part = limit.saturating_sub(LIMIT_PARTS * spare);
@@ -129,18 +130,18 @@
     }
 }
 
-/// Weight of an instance in a zone of a service's servers when the service's limits are divided
-/// and such instances aggregate the parts of a sweep for the others. Any other instance has weight
-/// 1.
+/// Weight of an instance in an availability zone with servers of a service, when the service's
+/// limits are divided and such instances aggregate the answers of a sweep's portions for the other
+/// instances. An instance in another zone has weight 1.
 ///
 /// The other instances send to the servers only while no peer aggregates for them. With equal
 /// weights on a deployment of four zones, half of a service's retry budget was never used, and
-/// while answers were lost twice as many parts were refused for lack of retries.
+/// while answers were lost twice as many portions were refused for lack of retries.
 const NEAR_WEIGHT: usize = 4;
 
-/// Divisor of a limit that gives the part of one instance, such that all instances together take
-/// no more than the whole limit. `near` instances are in a zone of the service's servers, `far`
-/// ones are not; `is_near` tells to which group the instance belongs.
+/// Divisor of a service's limit that gives the part of one instance, such that all instances
+/// together take no more than the whole limit. `near` instances are in a zone with servers of the
+/// service, `far` ones are not; `is_near` tells to which group the instance belongs.
 pub fn limit_divisor(near: usize, far: usize, is_near: bool) -> usize {
     if near == 0 || far == 0 {
         return near + far;
@@ -168,7 +169,7 @@
 /// one connection per slot of the server.
 ///
 /// If so, one instance sends the requests of all others to the server, and instances without work
-/// for it hold no connection.
+/// hold no connection to it.
 pub fn is_short_of_connections(limit: u32, slots: u32, instances: usize) -> bool {
     u64::from(limit) * 3 / 4 < u64::from(slots) * instances as u64
 }
@@ -182,13 +183,13 @@
     u64::from(limit) * 3 / 4 >= instances as u64
 }
 
-/// Number of connections that an instance may hold to a server to which few instances send the
-/// requests of all; at least one.
+/// Number of connections that an instance may hold to a server if only few instances send to it,
+/// with the requests of all others; at least one.
 ///
-/// An instance decides whether it is one of them by the members it knows. Views differ briefly
-/// after a change, so the share is small enough that [`CANDIDATES`] instances together hold at
-/// most three quarters of the limit.
-pub fn single_asker_share(limit: u32) -> u32 {
+/// An instance decides by the members that it knows whether it is one of these few. Views differ
+/// briefly after a change, so the share is small enough that [`CANDIDATES`] instances together
+/// hold at most three quarters of the limit.
+pub fn single_sender_share(limit: u32) -> u32 {
     (limit * 3 / 4 / CANDIDATES as u32).max(1)
 }
 
--- a/crates/core/src/control/placement/fleet.rs
+++ b/crates/core/src/control/placement/fleet.rs
@@ -6,8 +6,8 @@
 use crate::collections::Map;
 use crate::control::hash::{self, Prefix};
 
-/// Number of best-scored instances to keep, enough for all candidates even if the primaries are
-/// among them.
+/// Number of best-scored instances to keep while ranking; enough for all candidates even if the
+/// primaries are among them.
 const KEPT_INSTANCES: usize = CANDIDATES + MAX_PRIMARIES;
 
 /// Published instances, prepared for ranking many services.
@@ -19,23 +19,23 @@
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     instances: Vec<PreparedInstance>,
-    /// Hash words of all names, concatenated.
+    /// Names of all instances as 64-bit words for hashing, concatenated.
     words: Vec<u64>,
-    /// Number of different zones.
+    /// Number of different availability zones of the instances.
     zones: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct PreparedInstance {
-    /// Start and end of the name's words in `Fleet::words`.
+    /// Start and end of the instance name's words in `Fleet::words`.
     word_range: (u32, u32),
-    /// Length of the name in bytes.
+    /// Length of the instance's name in bytes.
     length: u64,
-    /// Number of the instance's zone.
+    /// Index of the instance's availability zone.
     ///
     /// Invariant: less than `Fleet::zones`.
     zone: usize,
-    /// Position of the instance in the order of names.
+    /// Position of the instance in the order of all names.
     name_rank: u32,
 }
 
--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -37,15 +37,15 @@
     /// Number of instances in each zone when the last view was built; only kept if instances are
     /// counted from gossip instead of published.
     instances_per_zone: Map<Arc<str>, usize>,
-    /// Services that the routes in force use as parts of sweeps.
+    /// Services that the routes in force list as parts of sweeps.
     sweep_services: Set<String>,
-    /// Services that the routes in force use as branches, to which single messages go.
+    /// Services that the routes in force list as branches, which receive single messages.
     branch_services: Set<String>,
 }
 
-/// Inputs that a view is built from.
+/// Inputs from which a view is built.
 pub(super) struct Source<'a> {
-    /// The publication.
+    /// Published records in force.
     pub(super) store: &'a Store,
     /// The members and their liveness.
     pub(super) membership: &'a Membership,
@@ -81,7 +81,7 @@
         &self.standings
     }
 
-    /// The last view.
+    /// The view that was built last.
     pub(super) const fn view(&self) -> &Arc<View> {
         &self.view
     }
@@ -112,17 +112,17 @@
             self.cache.index_lists()
         });
         let routing = changes.routing.then(|| source.store.routing().map(Table::new).map(Arc::new));
-        let changed_roles =
+        let sweep_changes =
             if changes.routing { self.refresh_sweep_services(source) } else { Vec::new() };
-        let mut changed_services = self.services_to_build(source, changes);
-        changed_services.extend(changed_roles);
-        let built = self.build(source, &changed_services);
+        let mut to_build = self.services_to_build(source, changes);
+        to_build.extend(sweep_changes);
+        let built = self.build(source, &to_build);
         let revision = source.store.revision();
         let old = &self.view;
         let indexes = indexes.filter(|lists| *lists != old.indexes);
         let routing = routing.filter(|routing| *routing != old.routing);
-        // Neighbours are also compared if no standing has changed: an instance may return in
-        // another zone.
+        // The list of neighbours is also rebuilt if no standing has changed: an instance may
+        // return in another zone.
         let neighbours = Some(neighbours::of(source)).filter(|list| **list != *old.neighbours);
         let lists_unchanged = indexes.is_none() && routing.is_none() && neighbours.is_none();
         let quarantine_unchanged = *source.quarantine == old.quarantine;
@@ -149,8 +149,8 @@
         Some(Arc::clone(&self.view))
     }
 
-    /// Builds the whole view from the same history, without the state that [`Projection::refresh`]
-    /// keeps between calls.
+    /// Builds the whole view from the same history of rankings and grants, without the other state
+    /// that [`Projection::refresh`] keeps between calls.
     pub(super) fn whole(&self, source: &Source<'_>, ready: bool) -> View {
         let mut ranks = self.ranks.clone();
         ranks.invalidate();
@@ -163,7 +163,7 @@
         View::clone(&new.view)
     }
 
-    /// Names of the services that must be built.
+    /// Names of the services that must be built because they may have changed.
     fn services_to_build(&mut self, source: &Source<'_>, changes: Changes) -> Set<Arc<str>> {
         let mut to_build = changes.services;
         if changes.instances {
@@ -270,7 +270,7 @@
         let targets: Vec<_> = source.store.servers_of(name).collect();
         let sharer_count = self.sharer_count(source, name, &targets);
         let instance_count = source.membership.size();
-        let scarce = self.is_scarce(source, name, &targets, &limits);
+        let scarce = self.needs_single_sender(source, name, &targets, &limits);
         let allows_idle_connections = |target: &&publication::Server| {
             placement::allows_one_connection_each(connection_limit(target, &limits), instance_count)
         };
@@ -279,7 +279,7 @@
         for target in &targets {
             let limit = connection_limit(target, &limits);
             let share = newest.map_or(0, |ranked| match scarce {
-                true => placement::single_asker_share(limit),
+                true => placement::single_sender_share(limit),
                 false => self.own_share(source, ranked, limit, sharer_count),
             });
             servers.push(self.build_server(source, target, share));
@@ -298,11 +298,12 @@
         })
     }
 
-    /// Whether one instance should send the requests of all others to the service's servers.
+    /// Whether one instance should send the requests of all others to the servers of a service,
+    /// because connections are scarce.
     ///
     /// This applies to parts of sweeps, and to services that no route names yet: the servers of a
     /// future index run for seconds before the index is in force.
-    fn is_scarce(
+    fn needs_single_sender(
         &self,
         source: &Source<'_>,
         service: &Arc<str>,
@@ -342,8 +343,8 @@
         }
         let mut instances = ranked.instances.iter();
         let position = instances.position(|listed| listed.peer.name == *own);
-        let divided = placement::divide_limit(limit);
-        position.map_or(0, |position| divided.for_position(ranked.primaries, position))
+        let role_shares = placement::divide_limit(limit);
+        position.map_or(0, |position| role_shares.for_position(ranked.primaries, position))
     }
 
     /// Number of parts that the fleet-wide limits of a catalogue entry are divided into. This
@@ -407,8 +408,8 @@
         new
     }
 
-    /// The candidates that have a share of the server with the highest connection limit, or all
-    /// candidates if the service has no server.
+    /// The candidates of a service that have a connection share to its server with the highest
+    /// connection limit, or all candidates if the service has no server.
     fn candidates(
         &self,
         source: &Source<'_>,
@@ -419,9 +420,9 @@
             return self.own_candidate(source);
         }
         let primaries = rankings.newest().map_or(0, |ranked| ranked.primaries);
-        let divided = widest_limit.map(placement::divide_limit);
+        let role_shares = widest_limit.map(placement::divide_limit);
         let has_share = |position: usize| {
-            divided.is_none_or(|share| share.for_position(primaries, position) > 0)
+            role_shares.is_none_or(|share| share.for_position(primaries, position) > 0)
         };
         let usable = rankings.ordered_candidates(has_share);
         let standings = usable.iter().map(|listed| (listed, source.standing(&listed.peer.name)));
@@ -454,13 +455,13 @@
     }
 }
 
-/// How long the older lists still take part in the order of candidates after a new list. In this
-/// time shares grow and other instances learn of the new list.
+/// How long older lists of instances still take part in the order of candidates after a new list.
+/// In this time connection shares grow and other instances learn of the new list.
 fn ranking_period(settings: &Settings) -> Duration {
     settings.timing.grace + settings.timing.probe
 }
 
-/// Number of connections to the server that the whole fleet may hold.
+/// Number of connections that the whole fleet may hold to a server.
 fn connection_limit(server: &publication::Server, limits: &catalogue::Limits) -> u32 {
     match limits.connections {
         0 => server.connections,
--- a/crates/core/src/control/project/grants.rs
+++ b/crates/core/src/control/project/grants.rs
@@ -22,7 +22,7 @@
 /// A share that has grown but is not granted yet.
 #[derive(Clone, Copy, Debug)]
 struct Growth {
-    /// The smallest share since it grew.
+    /// Smallest value of the share since it grew above the granted connections.
     ///
     /// Invariant: greater than the granted connections.
     min_share: u32,
--- a/crates/core/src/control/project/ranks.rs
+++ b/crates/core/src/control/project/ranks.rs
@@ -27,11 +27,11 @@
 /// The candidates of one service, best first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct RankedCandidates {
-    /// The candidates.
+    /// Candidates of the service, best first.
     pub(super) instances: Vec<Arc<PublishedInstance>>,
     /// Number of primary candidates, the first ones in `instances`.
     pub(super) primaries: usize,
-    /// Lowest score among the candidates; zero if there are none.
+    /// Lowest rendezvous score among the candidates; zero if there are none.
     lowest_score: u64,
 }
 
@@ -54,10 +54,10 @@
 /// starts with only a spare's connections.
 #[derive(Clone, Debug, Default)]
 struct RankingHistory {
-    /// Rankings, each with the time from which it applies.
+    /// Rankings of the service, each with the time from which it applies.
     ///
-    /// Invariant: unless `stale`, the last ranking equals that over the published list. All but
-    /// the first began within the last period.
+    /// Invariant: unless `stale` is set, the last ranking is that over the published list. All
+    /// rankings but the first began within the last period.
     versions: Vec<(Instant, Arc<RankedCandidates>)>,
     /// Whether the published list has changed in a way that may affect the service.
     stale: bool,
@@ -210,16 +210,16 @@
     }
 }
 
-/// Rankings of one service by lists of different age.
+/// Rankings of one service by successive lists of instances.
 pub(super) struct RankingVersions {
-    /// Rankings, oldest first.
+    /// Rankings of the service, oldest first.
     ///
     /// Invariant: not empty.
     versions: Vec<Arc<RankedCandidates>>,
 }
 
 impl RankingVersions {
-    /// The ranking by the newest list.
+    /// The ranking by the newest list of instances.
     pub(super) fn newest(&self) -> Option<&RankedCandidates> {
         self.versions.last().map(|ranked| &**ranked)
     }
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -26,8 +26,8 @@
 
 /// Number of servers that a request must crash to be refused.
 const MIN_CRASHES: usize = 3;
-/// How long a crash counts, and how long an entry is kept after its request was last sent or
-/// cleared.
+/// How long a crash counts, and how long a quarantine entry is kept after its request was last
+/// sent or cleared.
 pub const RETENTION: Duration = Duration::from_secs(15 * 60);
 /// Maximum number of crashes kept at once.
 const MAX_CRASHES: usize = 64;
@@ -41,13 +41,13 @@
 /// How much more recent than the oldest kept crash a peer's crash must be to replace it when
 /// [`MAX_CRASHES`] are kept.
 const MIN_REPLACEMENT_AGE_GAP: Duration = Duration::from_secs(1);
-/// Maximum number of incarnations kept of one entry.
+/// Maximum number of crashed incarnations kept of one quarantine entry.
 const MAX_INCARNATIONS_PER_ENTRY: usize = 4;
 
 /// One process life of a server, from its start to its termination.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation {
-    /// Name of the server.
+    /// Unique name of the server.
     pub server: Arc<str>,
     /// Incarnation number; increases with every start of the server.
     pub number: u64,
@@ -67,22 +67,22 @@
 /// The reported crash of an incarnation.
 #[derive(Clone, Debug)]
 struct CrashReport {
-    /// Requests that were open at the server.
+    /// Requests that were open at the server when it crashed.
     ///
     /// Invariant: sorted, without duplicates.
     requests: Vec<Fingerprint>,
-    /// Whether the incarnation has answered since, so that it did not crash.
+    /// Whether the incarnation has answered since its reported crash, which refutes the report.
     refuted: bool,
-    /// When the first of the calls to the incarnation broke off.
+    /// When the first of the calls to the crashed incarnation was cut off.
     at: Instant,
 }
 
-/// Whether a request is refused or cleared.
+/// Whether a request is quarantined or cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// The request is refused.
+    /// The request is quarantined: every instance refuses it.
     Quarantined,
-    /// The request was answered by a server or released by an operator.
+    /// The request was answered by a server or released by an operator, and is no longer refused.
     Cleared,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// What changed an entry of the quarantine.
+/// Reason for a change of a quarantine entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// Enough servers crashed under the request.
@@ -106,18 +106,18 @@
     Refutation,
     /// An operator released the request.
     Operator,
-    /// A peer reported this standing.
+    /// A peer reported the standing of the request.
     Peer,
 }
 
 /// The standing of a request, and the crashes that it is based on.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Whether the request is refused or cleared.
+    /// Whether the request is quarantined or cleared.
     pub standing: Standing,
     /// Incarnations that the request crashed.
     ///
-    /// Invariant: sorted, without duplicates; the crash of none of them is refuted.
+    /// Invariant: sorted, without duplicates, and the crash of no incarnation in it is refuted.
     pub incarnations: Vec<Incarnation>,
     /// When the request was last sent by a caller or cleared.
     pub seen: Instant,
@@ -148,7 +148,7 @@
         &self.view
     }
 
-    /// The quarantined and cleared requests with their entries.
+    /// Quarantined and cleared requests, each with its entry.
     pub(super) fn entries(&self) -> impl Iterator<Item = (&Fingerprint, &Entry)> {
         self.entries.iter()
     }
@@ -259,7 +259,7 @@
         (before != Some(standing)).then_some(Change { request, standing, cause, incarnations })
     }
 
-    /// Whether a crash at this time would be kept.
+    /// Whether there is room to keep a crash that happened at this time.
     fn has_room(&self, at: Instant) -> bool {
         let oldest = self.crashes.values().map(|crash| crash.at).min().unwrap_or_default();
         self.crashes.len() < MAX_CRASHES || at.since(oldest) > MIN_REPLACEMENT_AGE_GAP
@@ -309,7 +309,7 @@
         idle.inspect(|request| self.forget(*request)).is_some()
     }
 
-    /// The request of this standing that was last seen longest ago.
+    /// The request with this standing that was last seen longest ago.
     fn least_recently_seen(&self, standing: Standing) -> Option<Fingerprint> {
         let entries = self.entries.iter().filter(|(_, entry)| entry.standing == standing);
         entries.min_by_key(|(request, entry)| (entry.seen, **request)).map(|(request, _)| *request)
@@ -370,7 +370,7 @@
         by_suspect
     }
 
-    /// Drops crashes and entries that are expired or exceed the maximum numbers.
+    /// Drops crashes and quarantine entries that have expired or exceed the maximum numbers.
     fn drop_expired_and_excess(&mut self, now: Instant) {
         self.crashes.retain(|_, crash| now.since(crash.at) < RETENTION);
         self.entries.retain(|_, entry| now.since(entry.seen) < RETENTION);
@@ -385,7 +385,7 @@
         }
     }
 
-    /// Drops expired crashes and entries.
+    /// Drops crashes and quarantine entries that have expired.
     pub(super) fn expire(&mut self, now: Instant) {
         if self.next_expiry().is_some_and(|at| at <= now) {
             self.drop_expired_and_excess(now);
@@ -393,7 +393,7 @@
         }
     }
 
-    /// When the next crash or entry expires.
+    /// When the next crash or quarantine entry expires.
     pub(super) fn next_expiry(&self) -> Option<Instant> {
         let crash_times = self.crashes.values().map(|crash| crash.at);
         let entry_times = self.entries.values().map(|entry| entry.seen);
@@ -421,7 +421,8 @@
         }
     }
 
-    /// Digest of all crashes and entries, for comparison between instances; 0 if there are none.
+    /// Digest of all crashes and quarantine entries, for comparison between instances; 0 if there
+    /// are none.
     pub(super) fn digest(&self) -> u64 {
         let crash_hashes = self.crashes.iter().map(|(incarnation, crash)| {
             let requests: Vec<u8> =
@@ -435,7 +436,7 @@
         crash_hashes.chain(entry_hashes).fold(0, |combined, hash| combined ^ hash)
     }
 
-    /// Writes all crashes and entries into a frame.
+    /// Writes all crashes and quarantine entries into a frame.
     pub(super) fn write(&self, now: Instant, frame: &mut Frame) {
         let crashes = self.crashes.iter().map(|(incarnation, crash)| wire::Crash {
             server: incarnation.server.to_string(),
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/spread.rs
@@ -14,14 +14,14 @@
 /// Records and departures that a peer may not know yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct News {
-    /// Records in force.
+    /// Published records in force.
     pub records: Vec<Record>,
     /// Servers that announced that they are leaving.
     pub departures: Vec<Departure>,
 }
 
 impl News {
-    /// Whether there are no records and no departures.
+    /// Whether the news contains no records and no departures.
     pub(super) const fn is_empty(&self) -> bool {
         self.records.is_empty() && self.departures.is_empty()
     }
@@ -58,7 +58,7 @@
     }
 }
 
-/// The frame with this instance as its sender.
+/// Completes a frame with this instance as its sender.
 pub(super) fn signed(settings: &Settings, generation: u64, frame: Frame) -> Frame {
     Frame {
         protocol: PROTOCOL,
--- a/crates/core/tests/fleet/membership.rs
+++ b/crates/core/tests/fleet/membership.rs
@@ -84,8 +84,8 @@
     }
 }
 
-/// An instance is killed without its links breaking. It must be suspected after the first
-/// suspicion period of silence and considered dead after the second period.
+/// A member is killed without its links breaking. It must be suspected after the first suspicion
+/// period of silence and considered dead after a second period.
 #[test]
 fn silent_member_is_suspected_then_dead() {
     let mut fixture = Fixture::new(3);
@@ -97,8 +97,8 @@
     assert_eq!(fixture.liveness_of([1, 2]), [Liveness::Alive; 2]);
 }
 
-/// The link breaks because the process dies: the peer must be suspected without waiting for a
-/// period of silence.
+/// A member's link breaks because its process dies: the member must be suspected without waiting
+/// for a period of silence.
 #[test]
 fn broken_link_raises_suspicion_without_waiting() {
     let mut fixture = Fixture::new(3);
@@ -108,8 +108,8 @@
     assert_eq!(fixture.liveness(2), Liveness::Alive, "a frame was received again");
 }
 
-/// This instance's own network fails: all neighbours become silent at the same time. This instance
-/// must not declare the fleet dead on that evidence alone.
+/// The observing instance's own network fails, so all probed members become silent at the same
+/// time. The instance must not declare the fleet dead on that evidence alone.
 #[test]
 fn simultaneous_silence_raises_no_suspicion() {
     let mut fixture = Fixture::new(6);
@@ -125,8 +125,8 @@
     );
 }
 
-/// Most neighbours really die, as with the loss of a rack. A frame of any other member proves that
-/// this instance can receive, so the silent members must be suspected.
+/// Most probed members really die, as with the loss of a rack. A frame of any other member proves
+/// that the observing instance can receive, so the silent members must be suspected.
 #[test]
 fn received_frame_ends_the_withholding_of_suspicions() {
     let mut fixture = Fixture::new(6);
@@ -142,7 +142,8 @@
     }
 }
 
-/// All links break at once because this instance's own network fails: no peer may be suspected.
+/// All links break at once because the observing instance's own network fails: no peer may be
+/// suspected.
 #[test]
 fn simultaneous_link_loss_raises_no_suspicion() {
     let mut fixture = Fixture::new(4);
@@ -153,7 +154,7 @@
 }
 
 /// One peer crashes again and again, and its link breaks each time. This must not be mistaken for
-/// a failure of this instance's network: the peer must be suspected every time.
+/// a failure of the observing instance's network: the peer must be suspected every time.
 #[test]
 fn repeatedly_crashing_peer_is_suspected_each_time() {
     let mut fixture = Fixture::new(4);
@@ -164,8 +165,8 @@
     }
 }
 
-/// The process is paused for half a minute. When it resumes, the last frames of all others are
-/// half a minute old; no member may be declared dead because of that.
+/// The observing process is paused for half a minute. When it resumes, the last frames of all
+/// others are half a minute old; no member may be declared dead because of that.
 #[test]
 fn process_pause_restarts_silence_periods() {
     let mut fixture = Fixture::new(3);
@@ -179,8 +180,8 @@
     assert_eq!(fixture.liveness(3), Liveness::Suspect, "not dead because of the pause");
 }
 
-/// A process pause that is not reported to the machine: a tick comes far too late, and the frames
-/// of two of three neighbours were queued before it. The third neighbour must not be suspected.
+/// A process pause is not reported to the membership: a tick comes far too late, and the frames of
+/// two of three probed members were queued before it. The third member must not be suspected.
 #[test]
 fn late_tick_is_treated_as_a_process_pause() {
     let mut fixture = Fixture::new(3);
@@ -245,7 +246,7 @@
     }
 }
 
-/// An instance suspected by others is still alive. When it receives the suspicion it must refute,
+/// An instance that is alive receives the gossip update that others suspect it. It must refute,
 /// and the refutation must supersede the suspicion.
 #[test]
 fn suspected_instance_refutes() {
--- a/crates/core/tests/fleet/silence.rs
+++ b/crates/core/tests/fleet/silence.rs
@@ -16,9 +16,9 @@
 
 struct Case {
     name: &'static str,
-    /// How long answers are lost.
+    /// How long the platform's answers are lost.
     silence: Duration,
-    /// Time from the return of the answers to the change.
+    /// Time from the return of the platform's answers to the published change.
     change_after: Duration,
 }
 
@@ -29,8 +29,8 @@
 /// wait and one more second had passed, no instance read from the platform, although it had been
 /// back for 4 s.
 ///
-/// Each case runs with the loss beginning at different moments of a reader's wait, in fleets with
-/// instances that can stand in for the readers and in fleets of readers only.
+/// Each case runs with the loss beginning at different moments of a reader's wait, in fleets of
+/// readers only and in fleets with further instances that can read instead of the readers.
 #[test]
 fn changes_apply_in_time_after_lost_platform_answers() {
     let cases = [
@@ -93,8 +93,9 @@
     fleet.run(ms(10_000));
     let reads_before = reads(&fleet);
     fleet.run(ms(10_000));
-    // Eight instances in each of three zones read. After a failure each waits at least half of the
-    // longest pause between reads: an eighth of the contact time of 4 s, which is 0.5 s.
+    // At most eight instances in each of three zones read from the platform. After a failure each
+    // waits at least half of the longest pause between reads: an eighth of the contact time of 4
+    // s, which is 0.5 s.
     let max_reads = 8 * 3 * 20;
     let new_reads = reads(&fleet) - reads_before;
     assert!(new_reads <= max_reads, "{new_reads} reads in 10 s, at most {max_reads}");
