--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -26,9 +26,9 @@
 
 /// Number of ring successors that an instance probes.
 pub const PROBED_SUCCESSORS: usize = 3;
-/// Number of probed ring successors that may be in any zone; the others are in the zone of this
-/// instance. With only one, the loss of a zone is detected one member at a time, because the next
-/// member on the ring is often lost too.
+/// Number of probed ring successors that may be in any zone; the others are preferably in this
+/// instance's zone. With only one, the loss of a zone is detected one member at a time, because the
+/// next member on the ring is often lost too.
 const PROBED_IN_ANY_ZONE: usize = 2;
 /// How long a dead or leaving member that is not published is remembered, in multiples of
 /// `Timing::dead`. Forgetting it earlier would let gossip updates still in transit add it again.
@@ -285,7 +285,7 @@
         }
     }
 
-    /// The members to probe now.
+    /// The members that this instance probes now.
     pub fn neighbours(&self) -> impl Iterator<Item = &Member> {
         let names = self.detector.probed();
         names.filter_map(|name| self.members.get(name))
@@ -347,7 +347,7 @@
         }
     }
 
-    /// The standing of every member, including this instance.
+    /// Whether work may be given to each member, including this instance.
     pub fn standings(&self, now: Instant) -> Map<Arc<str>, Standing> {
         let all = self.members.values().chain([&self.own]);
         let standing = |member: &Member| (member.key(), self.standing(now, &member.name));
--- a/crates/core/src/control/membership/member.rs
+++ b/crates/core/src/control/membership/member.rs
@@ -11,23 +11,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(displaydoc::Display)]
 pub enum Evidence {
-    /// This instance itself.
+    /// The member is this instance.
     ThisInstance,
     /// Listed by the platform; no frame received yet.
     Published,
-    /// A frame of it was received.
+    /// A frame of the member was received.
     FrameReceived,
     /// Reported by a peer.
     PeerReport,
-    /// It did not answer probes.
+    /// The member did not answer probes.
     Silent,
-    /// The link to it broke.
+    /// The link to the member broke.
     LinkDown,
     /// Most links broke at once: the network fault is this instance's own.
     OwnNetworkFault,
     /// Nothing refuted the suspicion in time.
     Unrefuted,
-    /// It was considered dead and sent a frame again; it has yet to refute.
+    /// The member was considered dead and sent a frame again; it has yet to refute.
     SeenAgain,
 }
 
--- a/crates/core/src/control/membership/queue.rs
+++ b/crates/core/src/control/membership/queue.rs
@@ -4,9 +4,9 @@
 
 /// Number of gossip updates in one frame.
 pub(super) const UPDATES_PER_FRAME: usize = 16;
-/// Factor that is multiplied by the binary logarithm of the fleet size to get how often one
-/// instance sends a gossip update. A factor of 1 would reach every instance only if each
-/// transmission reached a new one; the rest compensates for overlap and lost frames.
+/// Each instance sends a gossip update this many times the binary logarithm of the fleet size. A
+/// factor of 1 would reach every instance only if each transmission reached a new one; the rest
+/// compensates for overlap and lost frames.
 const TRANSMIT_FACTOR: u32 = 3;
 /// How often all instances of a zone together send a gossip update to other zones, as a multiple
 /// of how often one instance sends it at all.
--- a/crates/core/src/control/membership/watch.rs
+++ b/crates/core/src/control/membership/watch.rs
@@ -9,7 +9,7 @@
 use crate::control::settings::Timing;
 use crate::time::Instant;
 
-/// Which end is at fault for a broken link.
+/// Which end of a broken link is at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LinkFault {
     /// The peer of the link is at fault.
@@ -18,11 +18,11 @@
     Own,
 }
 
-/// A period during which suspicions are withheld.
+/// A period during which no member is newly suspected.
 #[derive(Clone, Copy, Debug)]
 struct SuspicionHold {
     since: Instant,
-    /// Whether a frame of any peer has been received since the hold began.
+    /// Whether a frame of any peer has been received since suspicions began to be withheld.
     frame_received: bool,
 }
 
@@ -57,9 +57,9 @@
     /// Sets the members to probe. The silence of members that were already probed continues to
     /// count.
     pub(super) fn set_probed(&mut self, now: Instant, names: Vec<Arc<str>>) {
-        let old = std::mem::take(&mut self.probed);
+        let previous = std::mem::take(&mut self.probed);
         for name in names {
-            let since = old.get(&name).copied().unwrap_or(now);
+            let since = previous.get(&name).copied().unwrap_or(now);
             self.probed.insert(name, since);
         }
     }
@@ -108,17 +108,18 @@
         members: &BTreeMap<Arc<str>, Member>,
         timing: Timing,
     ) -> Vec<Arc<str>> {
-        let silent = |(name, since): &(&Arc<str>, &Instant)| {
+        let is_silent = |(name, since): &(&Arc<str>, &Instant)| {
             let last_frame_at = members.get(*name).and_then(|member| member.last_frame_at);
             let from = last_frame_at.map_or(**since, |last_frame_at| last_frame_at.max(**since));
             now.since(from) >= timing.suspect
         };
-        let names = self.probed.iter().filter(silent).map(|(name, _)| name);
+        let names = self.probed.iter().filter(is_silent).map(|(name, _)| name);
         let silent: Vec<Arc<str>> = names.cloned().collect();
         let is_majority = silent.len() >= 2 && silent.len() * 2 > self.probed.len();
-        let fresh: Vec<_> = silent.into_iter().filter(|name| is_alive(members, name)).collect();
-        if fresh.is_empty() {
-            return fresh;
+        let newly_silent: Vec<_> =
+            silent.into_iter().filter(|name| is_alive(members, name)).collect();
+        if newly_silent.is_empty() {
+            return newly_silent;
         }
         let was_held = self.hold.is_some();
         if self.withholds_suspicions(now, timing) {
@@ -128,7 +129,7 @@
             self.hold = Some(SuspicionHold { since: now, frame_received: false });
             return Vec::new();
         }
-        fresh
+        newly_silent
     }
 
     /// Which end is at fault for a broken link: this instance while suspicions are withheld or if
--- a/crates/core/src/control/placement/fleet.rs
+++ b/crates/core/src/control/placement/fleet.rs
@@ -45,7 +45,7 @@
 struct Scored {
     score: Reverse<u64>,
     name_rank: u32,
-    at: usize,
+    index: usize,
 }
 
 impl Fleet {
@@ -61,8 +61,8 @@
             fleet.push(instance.name, zone);
         }
         names.sort_unstable();
-        for (name_rank, (_, at)) in names.into_iter().enumerate() {
-            fleet.instances[at].name_rank = name_rank as u32;
+        for (name_rank, (_, index)) in names.into_iter().enumerate() {
+            fleet.instances[index].name_rank = name_rank as u32;
         }
         fleet.zones = zones.len();
         fleet
@@ -86,7 +86,7 @@
         primaries.truncate(MAX_PRIMARIES);
         let spares = best.iter().filter(|scored| !primaries.contains(scored));
         let order = primaries.iter().chain(spares).take(CANDIDATES);
-        Ranking { order: order.map(|scored| scored.at).collect(), primaries: primaries.len() }
+        Ranking { order: order.map(|scored| scored.index).collect(), primaries: primaries.len() }
     }
 
     /// Returns the best instance of each zone in no particular order, and the best of all
@@ -96,7 +96,7 @@
         let mut best: Vec<Scored> = Vec::with_capacity(KEPT_INSTANCES + 1);
         let prefix = Prefix::of(service.as_bytes());
         let mut length_prefix = (0, prefix.begin(0));
-        for (at, instance) in self.instances.iter().enumerate() {
+        for (index, instance) in self.instances.iter().enumerate() {
             if length_prefix.0 != instance.length {
                 length_prefix = (instance.length, prefix.begin(instance.length));
             }
@@ -104,7 +104,7 @@
             let new = Scored {
                 score: Reverse(length_prefix.1.end(&self.words[words])),
                 name_rank: instance.name_rank,
-                at,
+                index,
             };
             let known = &mut zones[instance.zone];
             if known.is_none_or(|known| new < known) {
--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -32,7 +32,8 @@
     cache: cache::IndexCache,
     /// Standings that the last view was built from.
     standings: Arc<Standings>,
-    /// Zone names, shared by the servers of all views.
+    /// Names of availability zones, kept so that the servers of all views share one string per
+    /// zone.
     zones: Set<Arc<str>>,
     /// Number of instances in each zone when the last view was built; only kept if instances are
     /// counted from gossip instead of published.
--- a/crates/core/src/control/project/grants.rs
+++ b/crates/core/src/control/project/grants.rs
@@ -1,10 +1,10 @@
-//! Connections that this instance may hold to each server. A grant shrinks at once and grows only
-//! after a delay.
+//! Connections that this instance is granted to each server. A grant shrinks at once and grows
+//! only after a delay.
 //!
-//! When the published list changes, one instance's share grows because another's shrinks. If the
-//! first instance learns of the list before the second, both hold the larger share and a server
-//! refuses connections. A grant therefore grows only to the smallest share of the last grace
-//! period.
+//! When the published list of instances changes, one instance's share of a server's connections
+//! grows because another's shrinks. If the first instance learns of the list before the second,
+//! both hold the larger share and the server refuses connections. A grant therefore grows only to
+//! the smallest share of the last grace period.
 //!
 //! # Bound
 //!
@@ -42,13 +42,14 @@
     /// last passed to [`Grants::begin_round`]. A growth that is never updated again would stay due
     /// forever, and the control machine would wake up without end.
     granted: Map<Arc<str>, Grant>,
-    /// Grants of the current round's servers that have not been updated in this round yet.
+    /// Grants of the servers passed to the last [`Grants::begin_round`] that have not been updated
+    /// since.
     previous_round: Map<Arc<str>, Grant>,
 }
 
 impl Grants {
-    /// Starts a round of updates for these servers. A server that is not updated in the round
-    /// loses its grant.
+    /// Starts a round of updates for the grants of these servers. A server that is not updated in
+    /// the round loses its grant.
     pub(super) fn begin_round<'a>(&mut self, servers: impl Iterator<Item = &'a Arc<str>>) {
         self.previous_round.clear();
         for server in servers {
--- a/crates/core/src/control/project/ranks.rs
+++ b/crates/core/src/control/project/ranks.rs
@@ -57,7 +57,7 @@
     /// Rankings of the service, each with the time from which it applies.
     ///
     /// Invariant: unless `stale` is set, the last ranking is that over the published list. All
-    /// rankings but the first began within the last period.
+    /// rankings but the first began within the last ranking period.
     versions: Vec<(Instant, Arc<RankedCandidates>)>,
     /// Whether the published list has changed in a way that may affect the service.
     stale: bool,
@@ -145,8 +145,8 @@
     /// Services with an older ranking that expires now.
     pub(super) fn due(&self, now: Instant, period: Duration) -> impl Iterator<Item = &Arc<str>> {
         let is_due = move |history: &RankingHistory| {
-            let second = history.versions.get(1);
-            second.is_some_and(|&(since, _)| now.since(since) >= period)
+            let successor = history.versions.get(1);
+            successor.is_some_and(|&(since, _)| now.since(since) >= period)
         };
         let due = self.histories.iter().filter(move |(_, all)| is_due(all));
         due.map(|(service, _)| service)
@@ -161,10 +161,10 @@
         period: Duration,
     ) -> RankingVersions {
         let existing = self.histories.get(service);
-        let fresh = existing.is_none_or(|history| history.stale).then(|| self.rank(service));
+        let new_ranking = existing.is_none_or(|history| history.stale).then(|| self.rank(service));
         let history = self.histories.entry(Arc::clone(service)).or_default();
-        if let Some(fresh) = fresh {
-            history.push(now, fresh);
+        if let Some(new_ranking) = new_ranking {
+            history.push(now, new_ranking);
         }
         history.drop_expired(now, period);
         let versions = history.versions.iter();
@@ -174,8 +174,8 @@
     /// When an older ranking expires next.
     pub(super) fn next_expiry(&self, period: Duration) -> Option<Instant> {
         let histories = self.histories.values();
-        let second = histories.filter_map(|history| history.versions.get(1));
-        second.map(|&(since, _)| since + period).min()
+        let successor = histories.filter_map(|history| history.versions.get(1));
+        successor.map(|&(since, _)| since + period).min()
     }
 
     fn rank(&self, service: &str) -> RankedCandidates {
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -35,8 +35,7 @@
 const MAX_REQUESTS_PER_CRASH: usize = 16;
 /// Maximum number of requests refused at once, and also of cleared requests remembered.
 pub const MAX_REQUESTS: usize = 64;
-/// How long the request of a quarantined entry must not have been sent before the entry may be
-/// evicted for another one.
+/// A quarantined request may be evicted for another one if no caller has sent it for this long.
 const EVICTABLE_AFTER: Duration = Duration::from_secs(60);
 /// How much more recent than the oldest kept crash a peer's crash must be to replace it when
 /// [`MAX_CRASHES`] are kept.
