--- a/src/bin/ladderctl.rs
+++ b/src/bin/ladderctl.rs
@@ -1,4 +1,4 @@
-//! `ladderctl`: the operators' command line.
+//! `ladderctl`: the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,26 +1,26 @@
-//! The process's clock.
+//! The clock of the process.
 
 use ladder_core::time::Instant;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Reads time since the clock was made.
+/// Reads the time since this clock was created.
 ///
-/// It reads the boot-time clock, which goes on while the machine is suspended: a monotonic clock
-/// that stood still would hide exactly the gap that the pause guard looks for.
+/// It reads the boot-time clock, which advances while the machine is suspended. A monotonic clock
+/// that stops during a suspension would hide the gap by which a driver detects a process pause.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    origin: u64,
+    origin_us: u64,
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     pub fn new() -> Self {
-        Self { origin: boot_micros() }
+        Self { origin_us: boot_time_us() }
     }
 
-    /// Time since the origin.
+    /// Returns the time since the origin of the clock.
     pub fn now(&self) -> Instant {
-        Instant::from_micros(boot_micros().saturating_sub(self.origin))
+        Instant::from_micros(boot_time_us().saturating_sub(self.origin_us))
     }
 }
 
@@ -30,18 +30,20 @@
     }
 }
 
-/// Microseconds since the machine started.
-fn boot_micros() -> u64 {
+/// Returns the microseconds since the machine booted.
+fn boot_time_us() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or(0);
     let nanos = u64::try_from(time.tv_nsec).unwrap_or(0);
     seconds * 1_000_000 + nanos / 1000
 }
 
-/// An incarnation for a process that starts now: no other process of its name has the same.
+/// Returns the incarnation number of a process that starts now; no other process of the same
+/// instance name has the same number.
 ///
-/// Microseconds since 1970. Later starts get higher ones unless the host's clock was set back;
-/// peers order the lives of a name by their generations, which start from it.
+/// The number is the time in microseconds since 1970. Later starts get higher numbers unless the
+/// host's clock was set back. Peers order the incarnations of one name by their generations; the
+/// first generation equals the incarnation.
 pub fn incarnation() -> u64 {
     std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line, `ladderctl`.
+//! The operators' command-line tool, `ladderctl`.
 
 pub mod arguments;
 pub mod check;
@@ -10,12 +10,12 @@
 
 use arguments::Command;
 
-/// Exit code when an instance does not answer or the check finds mistakes.
-const FAILED: u8 = 1;
+/// Exit code if an instance does not answer or a checked record would be refused.
+const FAILURE_EXIT_CODE: u8 = 1;
 
-/// Runs one command.
+/// Runs one command and returns the exit code.
 pub fn run(command: Command) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Command::Check { file } => check::run(&file),
         Command::Status { instances } => client::status(&instances),
         Command::Owners { service, instances } => client::owners(service.as_deref(), &instances),
@@ -25,11 +25,11 @@
         Command::Drain { instance } => client::drain(&instance),
         Command::Cut { instance, peers } => client::cut(&instance, peers),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("ladderctl: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(FAILURE_EXIT_CODE)
         }
     }
 }
--- a/src/ctl/arguments.rs
+++ b/src/ctl/arguments.rs
@@ -5,92 +5,92 @@
 use bpaf::{OptionParser, Parser, construct, positional};
 use ladder_core::fingerprint::Fingerprint;
 
-/// What the operator asks for.
+/// A parsed command of `ladderctl`.
 #[derive(Clone, Debug)]
 pub enum Command {
     /// Check records before they are published.
     Check {
-        /// A JSON file with a page of records.
+        /// Path of a JSON file with a page of records.
         file: PathBuf,
     },
-    /// Show what each instance holds true.
+    /// Show the status of each instance.
     Status {
-        /// Operators' addresses of the instances.
+        /// Admin addresses of the instances to query.
         instances: Vec<String>,
     },
-    /// Show who owns what, and the order in which others would.
+    /// Show the owner of each service and the order of its fallback owners.
     Owners {
-        /// Only this service.
+        /// Name of the only service to show; all services if absent.
         service: Option<String>,
-        /// Operators' addresses of the instances.
+        /// Admin addresses of the instances to query.
         instances: Vec<String>,
     },
-    /// Show what happened to the requests of one key.
+    /// Show what happened to the requests with one request key.
     Explain {
-        /// The request key.
+        /// Request key of the query.
         key: String,
-        /// Operators' addresses of the instances.
+        /// Admin addresses of the instances to query.
         instances: Vec<String>,
     },
-    /// Show what the instances' logs say of one request.
+    /// Show the log lines of all instances about one request.
     Story {
-        /// The request key.
+        /// Request key of the query.
         key: String,
-        /// Files of log lines; none: standard input.
+        /// Paths of log files; if empty, the log is read from standard input.
         logs: Vec<PathBuf>,
     },
-    /// Show the requests that are refused because servers ended under them, or release one.
+    /// Show the requests in quarantine, during which server processes crashed, or release one.
     Quarantine {
-        /// The request to release.
+        /// Fingerprint of the request to release from quarantine.
         release: Option<Fingerprint>,
-        /// Operators' addresses of the instances.
+        /// Admin addresses of the instances to query.
         instances: Vec<String>,
     },
     /// Stop an instance gracefully.
     Drain {
-        /// Operators' address of the instance.
+        /// Admin address of the instance.
         instance: String,
     },
     /// Cut an instance off from peers, for failure tests.
     Cut {
-        /// Operators' address of the instance.
+        /// Admin address of the instance.
         instance: String,
-        /// Peer addresses; none: heal.
+        /// Addresses of the peers to cut off; if empty, all links are restored.
         peers: Vec<String>,
     },
 }
 
-/// Parser of the command line.
+/// Returns the parser of the command line.
 pub fn arguments() -> OptionParser<Command> {
     construct!([check(), status(), owners(), explain(), story(), quarantine(), drain(), cut()])
         .to_options()
-        .descr("Checks what is to be published and shows and stops instances.")
-        .footer("Exit codes: 0 done, 1 an instance does not answer or a record is refused.")
+        .descr("Checks what is to be published, shows the state of instances and stops them.")
+        .footer("Exit codes: 0 success, 1 an instance does not answer or a record is refused.")
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// Operators' addresses of instances.
+/// Parses the admin addresses of one or more instances.
 fn instances() -> impl Parser<Vec<String>> {
     positional::<String>("ADMIN")
-        .help("Operators' address of an instance, IP:PORT")
-        .some("name at least one instance")
+        .help("Admin address of an instance, IP:PORT")
+        .some("name at least one admin address")
 }
 
-/// Operators' address of one instance.
+/// Parses the admin address of one instance.
 fn instance() -> impl Parser<String> {
-    positional::<String>("ADMIN").help("Operators' address of the instance, IP:PORT")
+    positional::<String>("ADMIN").help("Admin address of the instance, IP:PORT")
 }
 
-/// `check FILE`.
+/// Parses the command `check FILE`.
 fn check() -> impl Parser<Command> {
     let file = positional::<PathBuf>("FILE").help("A page of records as JSON");
     construct!(Command::Check { file })
         .to_options()
-        .descr("Checks records before they are published, as instances will.")
+        .descr("Checks records before they are published, with the same rules as the instances.")
         .command("check")
 }
 
-/// `status ADMIN...`.
+/// Parses the command `status ADMIN...`.
 fn status() -> impl Parser<Command> {
     let instances = instances();
     construct!(Command::Status { instances })
@@ -99,52 +99,55 @@
         .command("status")
 }
 
-/// `owners [--service NAME] ADMIN...`.
+/// Parses the command `owners [--service NAME] ADMIN...`.
 fn owners() -> impl Parser<Command> {
     let service =
-        bpaf::long("service").help("Only this service").argument::<String>("NAME").optional();
+        bpaf::long("service").help("Show only this service").argument::<String>("NAME").optional();
     let instances = instances();
     construct!(Command::Owners { service, instances })
         .to_options()
-        .descr("Shows who owns each service in the view of each instance, and who would be next.")
+        .descr(
+            "Shows the owner and the fallback owners of each service in the view of each instance.",
+        )
         .command("owners")
 }
 
-/// `explain KEY ADMIN...`.
+/// Parses the command `explain KEY ADMIN...`.
 fn explain() -> impl Parser<Command> {
     let key = positional::<String>("KEY").help("The request key");
     let instances = instances();
     construct!(Command::Explain { key, instances })
         .to_options()
-        .descr("Shows what happened to the requests of one key at the instances.")
+        .descr("Shows what happened at the instances to the requests with one request key.")
         .command("explain")
 }
 
-/// `story KEY LOG...`.
+/// Parses the command `story KEY LOG...`.
 fn story() -> impl Parser<Command> {
     let key = positional::<String>("KEY").help("The request key");
-    let logs =
-        positional::<PathBuf>("LOG").help("Log lines of instances; none: standard input").many();
+    let logs = positional::<PathBuf>("LOG")
+        .help("Log files of instances; standard input if none is given")
+        .many();
     construct!(Command::Story { key, logs })
         .to_options()
-        .descr("Shows what the logs of all instances say of one request, in order of time.")
+        .descr("Shows what the logs of all instances contain about one request, ordered by time.")
         .command("story")
 }
 
-/// `quarantine [--release FINGERPRINT] ADMIN...`.
+/// Parses the command `quarantine [--release FINGERPRINT] ADMIN...`.
 fn quarantine() -> impl Parser<Command> {
     let release = bpaf::long("release")
-        .help("Let this request be served again, at all instances")
+        .help("Release this request from quarantine, at all instances")
         .argument::<Fingerprint>("FINGERPRINT")
         .optional();
     let instances = instances();
     construct!(Command::Quarantine { release, instances })
         .to_options()
-        .descr("Shows the requests that are refused because servers ended under them.")
+        .descr("Shows the requests that are refused because server processes crashed during them.")
         .command("quarantine")
 }
 
-/// `drain ADMIN`.
+/// Parses the command `drain ADMIN`.
 fn drain() -> impl Parser<Command> {
     let instance = instance();
     construct!(Command::Drain { instance })
@@ -153,10 +156,12 @@
         .command("drain")
 }
 
-/// `cut ADMIN PEER...`.
+/// Parses the command `cut ADMIN PEER...`.
 fn cut() -> impl Parser<Command> {
     let instance = instance();
-    let peers = positional::<String>("PEER").help("Peer address, IP:PORT; none: heal").many();
+    let peers = positional::<String>("PEER")
+        .help("Peer address, IP:PORT; all links are restored if none is given")
+        .many();
     construct!(Command::Cut { instance, peers })
         .to_options()
         .descr("Cuts an instance off from peers; only where its settings allow fault injection.")
--- a/src/ctl/check.rs
+++ b/src/ctl/check.rs
@@ -1,4 +1,4 @@
-//! Checks records before they are published, by the rules that instances refuse them by.
+//! Checks records before they are published, by the same rules as the instances.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,52 +8,52 @@
 
 use super::client;
 
-/// Why a file of records is not fit to be published.
+/// Errors of checking a file of records.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// {path:?} cannot be read: {error}
     Unreadable {
-        /// The file.
+        /// Path of the file of records.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// {path:?} is not a page of records: {error}
     Malformed {
-        /// The file.
+        /// Path of the file of records.
         path: PathBuf,
-        /// What the parser says.
+        /// Error of the JSON parser.
         error: serde_json::Error,
     },
     /// {0} records would be refused
     Refused(usize),
 }
 
-/// Prints each record that would be refused.
+/// Prints each record of the file at `path` that instances would refuse.
 ///
 /// # Errors
 ///
-/// [`Error`] when the file cannot be read or a record would be refused.
+/// [`Error`] if the file cannot be read or a record would be refused.
 pub fn run(path: &Path) -> Result<(), client::Error> {
     let page = load(path).map_err(client::Error::Check)?;
-    let refused = page.records.iter().filter(|record| !is_sound(record)).count();
+    let refused = page.records.iter().filter(|record| !is_valid(record)).count();
     if refused > 0 {
         return Err(client::Error::Check(Error::Refused(refused)));
     }
-    println!("{}: {} records, all sound", path.display(), page.records.len());
+    println!("{}: {} records, all valid", path.display(), page.records.len());
     Ok(())
 }
 
-/// Reads a page of records.
+/// Reads a page of records from a JSON file.
 fn load(path: &Path) -> Result<Page, Error> {
     let text = fs::read_to_string(path)
         .map_err(|error| Error::Unreadable { path: path.to_owned(), error })?;
     serde_json::from_str(&text).map_err(|error| Error::Malformed { path: path.to_owned(), error })
 }
 
-/// Whether instances would take the record; says why not.
-fn is_sound(record: &Record) -> bool {
+/// Whether instances would accept the record; prints the reason if not.
+fn is_valid(record: &Record) -> bool {
     match check::record(record) {
         Ok(()) => true,
         Err(error) => {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Kind and name of a record, for people.
+/// Describes a record by its kind and name.
 fn name(record: &Record) -> String {
     match &record.body {
         Some(record::Body::Entry(entry)) => format!("entry {:?}", entry.service),
--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -1,4 +1,4 @@
-//! Asks instances over their operators' HTTP.
+//! Queries and controls instances over their operators' HTTP interface.
 
 use std::io::{self, Write};
 use std::time::Duration;
@@ -11,34 +11,34 @@
 
 use super::print;
 
-/// How long an instance may take to answer.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Bytes of one answer.
-const ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Longest time that an instance may take to answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Largest accepted answer of an instance, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a command failed.
+/// Errors of a command.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// {instance} does not answer: {error}
-    Silent {
-        /// Its operators' address.
+    NoAnswer {
+        /// Admin address of the instance.
         instance: String,
-        /// What the client says.
+        /// Error of the HTTP client.
         error: SendRequestError,
     },
-    /// {instance} refuses: {detail}
+    /// {instance} refused the request: {detail}
     Refused {
-        /// Its operators' address.
+        /// Admin address of the instance.
         instance: String,
-        /// What it says.
+        /// Text of the instance's response.
         detail: String,
     },
-    /// {instance} sent what is no answer: {detail}
-    Garbled {
-        /// Its operators' address.
+    /// {instance} sent an invalid answer: {detail}
+    InvalidAnswer {
+        /// Admin address of the instance.
         instance: String,
-        /// What is wrong.
+        /// Description of the invalid response.
         detail: String,
     },
     /// {0}
@@ -53,124 +53,133 @@
 ///
 /// # Errors
 ///
-/// The first instance that does not answer; the others are printed all the same.
+/// The error of the first instance that does not answer; the answers of the others are printed
+/// nevertheless.
 pub fn status(instances: &[String]) -> Result<(), Error> {
-    each(instances, "status", print::status)
+    query_each(instances, "status", print::status)
 }
 
-/// Prints the owners of all services, or of one.
+/// Prints the owners of all services, or of `service` only.
 ///
 /// # Errors
 ///
-/// As [`status`].
+/// The error of the first instance that does not answer, as in [`status`].
 pub fn owners(service: Option<&str>, instances: &[String]) -> Result<(), Error> {
-    each(instances, "status", |instance, answer| print::owners(instance, service, answer))
+    query_each(instances, "status", |instance, answer| print::owners(instance, service, answer))
 }
 
-/// Prints what happened to the requests of `key`.
+/// Prints what happened to the requests with the request key `key`.
 ///
 /// # Errors
 ///
-/// As [`status`].
+/// The error of the first instance that does not answer, as in [`status`].
 pub fn explain(key: &str, instances: &[String]) -> Result<(), Error> {
-    each(instances, &format!("explain?key={key}"), print::explanation)
+    query_each(instances, &format!("explain?key={key}"), print::explanation)
 }
 
-/// Prints the requests that each instance refuses because servers ended under them; releases one first.
+/// Prints the requests that each instance keeps in quarantine because server processes crashed
+/// during them. If `release` is given, that request is released first, through the first instance.
 ///
 /// # Errors
 ///
-/// As [`status`].
+/// The error of the first instance that does not answer, as in [`status`].
 pub fn quarantine(release: Option<Fingerprint>, instances: &[String]) -> Result<(), Error> {
     if let (Some(request), Some(instance)) = (release, instances.first()) {
         actix_rt::System::new().block_on(async {
             let path = format!("release?request={request}");
             post(instance, &path, &status::Cut::default()).await?;
-            say(&format!("{instance}: released {request}"));
+            print_line(&format!("{instance}: released {request}"));
             Ok(())
         })?;
     }
-    each(instances, "status", print::quarantine)
+    query_each(instances, "status", print::quarantine)
 }
 
 /// Stops an instance gracefully.
 ///
 /// # Errors
 ///
-/// When it does not answer.
+/// [`Error`] if the instance does not answer.
 pub fn drain(instance: &str) -> Result<(), Error> {
     actix_rt::System::new().block_on(async {
         post(instance, "drain", &status::Cut::default()).await?;
-        say(&format!("{instance}: draining"));
+        print_line(&format!("{instance}: draining"));
         Ok(())
     })
 }
 
-/// Cuts an instance off from `peers`.
+/// Cuts an instance off from the peers at `peers`.
 ///
 /// # Errors
 ///
-/// When it does not answer or its settings forbid it.
+/// [`Error`] if the instance does not answer or its settings forbid fault injection.
 pub fn cut(instance: &str, peers: Vec<String>) -> Result<(), Error> {
     actix_rt::System::new().block_on(async {
         let count = peers.len();
         post(instance, "cut", &status::Cut { addresses: peers }).await?;
-        say(&format!("{instance}: cut off from {count} peers"));
+        print_line(&format!("{instance}: cut off from {count} peers"));
         Ok(())
     })
 }
 
-/// Asks each instance and prints its answer; gives the first error at the end.
-fn each<T, F>(instances: &[String], path: &str, mut print: F) -> Result<(), Error>
+/// Queries each instance and prints its answer; returns the first error after all instances were
+/// queried.
+fn query_each<T, F>(instances: &[String], path: &str, mut print: F) -> Result<(), Error>
 where
     T: DeserializeOwned,
     F: FnMut(&str, &T) -> String,
 {
     actix_rt::System::new().block_on(async {
-        let mut first = Ok(());
+        let mut result = Ok(());
         for instance in instances {
             match get::<T>(instance, path).await {
-                Ok(answer) => say(&print(instance, &answer)),
+                Ok(answer) => print_line(&print(instance, &answer)),
                 Err(error) => {
-                    say(&error.to_string());
-                    first = first.and(Err(error));
+                    print_line(&error.to_string());
+                    result = result.and(Err(error));
                 }
             }
         }
-        first
+        result
     })
 }
 
-/// Writes a line to standard output; a reader that has seen enough is no failure.
-pub(super) fn say(line: &str) {
+/// Writes a line to standard output. Errors are ignored, since a reader such as `head` may close
+/// the pipe early.
+pub(super) fn print_line(line: &str) {
     let _ = writeln!(io::stdout(), "{line}");
 }
 
-/// One GET with a JSON answer.
+/// Sends a GET request to the path `path` of an instance and decodes its JSON answer.
 ///
 /// # Errors
 ///
-/// [`Error`] when there is no such answer.
+/// [`Error`] if the instance does not answer, refuses the request or sends an invalid answer.
 pub async fn get<T: DeserializeOwned>(instance: &str, path: &str) -> Result<T, Error> {
     let url = format!("http://{instance}/{path}");
-    let silent = |error| Error::Silent { instance: instance.to_owned(), error };
-    let garbled = |detail: String| Error::Garbled { instance: instance.to_owned(), detail };
-    let mut response = Client::new().get(url).timeout(PATIENCE).send().await.map_err(silent)?;
-    let body =
-        response.body().limit(ANSWER_BYTES).await.map_err(|error| garbled(error.to_string()))?;
+    let no_answer = |error| Error::NoAnswer { instance: instance.to_owned(), error };
+    let invalid_answer =
+        |detail: String| Error::InvalidAnswer { instance: instance.to_owned(), detail };
+    let mut response =
+        Client::new().get(url).timeout(ANSWER_TIMEOUT).send().await.map_err(no_answer)?;
+    let body = response
+        .body()
+        .limit(MAX_ANSWER_BYTES)
+        .await
+        .map_err(|error| invalid_answer(error.to_string()))?;
     if !response.status().is_success() {
         let detail = String::from_utf8_lossy(&body).trim().to_owned();
         return Err(Error::Refused { instance: instance.to_owned(), detail });
     }
-    serde_json::from_slice(&body).map_err(|error| garbled(error.to_string()))
+    serde_json::from_slice(&body).map_err(|error| invalid_answer(error.to_string()))
 }
 
-/// One POST of a JSON body.
+/// Sends a POST request with a JSON body to the path `path` of an instance.
 async fn post(instance: &str, path: &str, body: &status::Cut) -> Result<(), Error> {
     let url = format!("http://{instance}/{path}");
-    let silent = |error| Error::Silent { instance: instance.to_owned(), error };
-    let request = Client::new().post(url).timeout(PATIENCE);
-    let mut response = request.send_json(body).await.map_err(silent)?;
+    let no_answer = |error| Error::NoAnswer { instance: instance.to_owned(), error };
+    let request = Client::new().post(url).timeout(ANSWER_TIMEOUT);
+    let mut response = request.send_json(body).await.map_err(no_answer)?;
     if response.status().is_success() {
         return Ok(());
     }
--- a/src/ctl/print.rs
+++ b/src/ctl/print.rs
@@ -1,11 +1,11 @@
-//! What instances answer, as text for people.
+//! Formats the answers of instances as human-readable text.
 
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_schema::status::{
     Evacuation, Explanation, Instance, Member, Quarantine, Refused, Service, Step,
 };
 
-/// The status of one instance.
+/// Formats the status of one instance.
 pub fn status(address: &str, status: &Instance) -> String {
     let mut lines = vec![
         format!(
@@ -25,7 +25,7 @@
     lines.join("\n")
 }
 
-/// One line on an evacuated zone.
+/// Formats one evacuated zone as a line.
 fn evacuation(evacuation: &Evacuation) -> String {
     format!(
         "  zone {} is evacuated since revision {}: {} servers get no new requests",
@@ -33,7 +33,7 @@
     )
 }
 
-/// One line on a member.
+/// Formats one member of the fleet as a line.
 fn member(member: &Member) -> String {
     format!(
         "  member {} ({}, {}, incarnation {}): {} ({})",
@@ -46,7 +46,7 @@
     )
 }
 
-/// One line on a refused record.
+/// Formats one refused record as a line.
 fn refused(refused: &Refused) -> String {
     format!(
         "  refused {} {} at revision {}: {}",
@@ -57,29 +57,29 @@
     )
 }
 
-/// The owners in the view of one instance.
+/// Formats the owners of services in the view of one instance; only of the service `only` if given.
 pub fn owners(address: &str, only: Option<&str>, status: &Instance) -> String {
-    let wanted = |service: &&Service| only.is_none_or(|only| only == service.name);
+    let is_selected = |service: &&Service| only.is_none_or(|only| only == service.name);
     let mut lines = vec![format!("{} ({address}):", status.name)];
-    lines.extend(status.services.iter().filter(wanted).map(service));
+    lines.extend(status.services.iter().filter(is_selected).map(service));
     lines.join("\n")
 }
 
-/// What one instance holds of requests under which servers ended.
+/// Formats the quarantined requests of one instance.
 pub fn quarantine(address: &str, status: &Instance) -> String {
     let mut lines = vec![format!("{} ({address}):", status.name)];
     lines.extend(status.quarantines.iter().map(quarantined));
     lines.join("\n")
 }
 
-/// One line on a request.
+/// Formats the quarantine state of one request as a line.
 fn quarantined(entry: &Quarantine) -> String {
     let incarnations = entry
         .incarnations
         .iter()
         .map(|incarnation| format!("{}/{}", incarnation.server, incarnation.number));
     format!(
-        "  {} {}, idle for {} s; servers that ended: {}",
+        "  {} {}, idle for {} s; crashed servers: {}",
         entry.fingerprint,
         entry.standing().as_str_name(),
         entry.idle_ms / 1000,
@@ -87,11 +87,11 @@
     )
 }
 
-/// One line on a service.
+/// Formats the owner and the fallback owners of one service as a line.
 fn service(service: &Service) -> String {
     let owner = if service.owner.is_empty() { "nobody" } else { &service.owner };
     format!(
-        "  {} (revision {}): {owner}, in order {}; {} queued and {} running here",
+        "  {} (revision {}): {owner}, candidates in order {}; {} queued and {} running here",
         service.name,
         service.revision,
         service.candidates.join(" "),
@@ -100,7 +100,7 @@
     )
 }
 
-/// What happened to the requests of a key at one instance.
+/// Formats what happened to the requests with one request key at one instance.
 pub fn explanation(address: &str, explanation: &Explanation) -> String {
     if explanation.queries.is_empty() {
         return format!("{address}: no record of this key");
@@ -113,13 +113,13 @@
     lines.join("\n")
 }
 
-/// One line on a step.
+/// Formats one step of a query as a line.
 fn step(step: &Step) -> String {
-    format!("  {:>9} us  {}{}", step.at_us, step.what, because(step))
+    format!("  {:>9} us  {}{}", step.at_us, step.what, reason_and_verdict(step))
 }
 
-/// Reason and verdict of a step, where it has them.
-fn because(step: &Step) -> String {
+/// Formats the reason and the verdict of a step, where it has them.
+fn reason_and_verdict(step: &Step) -> String {
     let mut text = String::new();
     if step.reason() != Reason::Unspecified {
         text.push_str("  ");
--- a/src/ctl/story.rs
+++ b/src/ctl/story.rs
@@ -1,4 +1,4 @@
-//! The story of one request, from the instances' logs.
+//! Collects the log lines of one request from the logs of all instances.
 
 use std::fs;
 use std::io::{self, Read};
@@ -8,36 +8,37 @@
 
 use super::client;
 
-/// Fields that every line has or that the table shows in a place of their own.
-const SHOWN: [&str; 5] = ["id", "ts", "instance", "msg", "level"];
+/// Fields that are not listed as `name=value`: each line has them, or the output shows them at a
+/// fixed place.
+const OMITTED_FIELDS: [&str; 5] = ["id", "ts", "instance", "msg", "level"];
 
-/// Why logs cannot be read.
+/// Errors of reading logs.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// {path:?} cannot be read: {error}
     Unreadable {
-        /// The file.
+        /// Path of the log file; `-` for standard input.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// no line of the logs is about {0}: it was plain and not in the sample, or its lines were dropped
+    /// no log line is about {0}: it was normal and not sampled, or its lines were dropped
     Unknown(String),
 }
 
-/// Prints all lines about a request in order of time, from files or from standard input.
+/// Prints all log lines about a request, ordered by time, from files or from standard input.
 ///
 /// # Errors
 ///
-/// [`Error`] when a file cannot be read or no line is about the request.
+/// [`Error`] if a file cannot be read or no line is about the request.
 pub fn run(id: &str, files: &[PathBuf]) -> Result<(), client::Error> {
-    let story = tell(id, files).map_err(client::Error::Story)?;
-    client::say(&story);
+    let text = collect(id, files).map_err(client::Error::Story)?;
+    client::print_line(&text);
     Ok(())
 }
 
-fn tell(id: &str, files: &[PathBuf]) -> Result<String, Error> {
+fn collect(id: &str, files: &[PathBuf]) -> Result<String, Error> {
     let mut logs = String::new();
     if files.is_empty() {
         let read = io::stdin().read_to_string(&mut logs);
@@ -58,32 +59,33 @@
     fs::read_to_string(path).map_err(|error| Error::Unreadable { path: path.to_owned(), error })
 }
 
-/// The lines about a request, oldest first. What stands before the first brace of a line is left
-/// aside, as collectors of logs put times and names there.
+/// Returns the log lines about a request, oldest first. Text before the first brace of a line is
+/// ignored, since log collectors put times and names there.
 pub fn story(id: &str, logs: &str) -> Vec<String> {
     let mut lines: Vec<(String, String)> = logs
         .lines()
         .filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok())
         .filter(|line: &Map<String, Value>| line.get("id").and_then(Value::as_str) == Some(id))
-        .map(|line| (text(&line, "ts"), shown(&line)))
+        .map(|line| (text(&line, "ts"), format_line(&line)))
         .collect();
     lines.sort();
     lines.into_iter().map(|(_, line)| line).collect()
 }
 
-fn shown(line: &Map<String, Value>) -> String {
-    let fields =
-        line.iter().filter(|(name, value)| !SHOWN.contains(&name.as_str()) && !value.is_null());
+fn format_line(line: &Map<String, Value>) -> String {
+    let fields = line
+        .iter()
+        .filter(|(name, value)| !OMITTED_FIELDS.contains(&name.as_str()) && !value.is_null());
     let fields: Vec<String> =
-        fields.map(|(name, value)| format!("{name}={}", plain(value))).collect();
+        fields.map(|(name, value)| format!("{name}={}", value_text(value))).collect();
     let (ts, instance, what) = (text(line, "ts"), text(line, "instance"), text(line, "msg"));
     format!("{ts} {instance} {what}: {}", fields.join(" "))
 }
 
 fn text(line: &Map<String, Value>, name: &str) -> String {
-    line.get(name).map(plain).unwrap_or_default()
+    line.get(name).map(value_text).unwrap_or_default()
 }
 
-fn plain(value: &Value) -> String {
+fn value_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,10 +1,12 @@
-//! The daemon of one instance: three machines of the core, each on a thread of its own, joined by
-//! the link to the other instances.
+//! The daemon of one instance: three state machines of the core, normally each on its own thread,
+//! and the link to the other instances.
 //!
-//! - `control` thread: the control machine, the watch of the platform, operators' HTTP;
-//! - `gather` thread: the gathering machine, callers' HTTP;
-//! - `leaf` thread: the leaf machine, connections to servers; on one core both share a thread;
-//! - `peer` thread: decodes frames of peers and hands their parts to the three.
+//! - `control` thread: the control machine, the watch of the platform, the operators' HTTP
+//!   interface;
+//! - `gather` thread: the gathering machine, the callers' HTTP interface;
+//! - `leaf` thread: the leaf machine, the connections to servers; on a machine with one core a
+//!   single `traffic` thread runs both the gathering and the leaf machine;
+//! - `peer` thread: decodes frames from peers and passes their contents to the three machines.
 
 pub mod admin;
 pub mod control;
@@ -39,26 +41,26 @@
 use crate::clock::{self, Clock};
 use crate::driver::{self, Handle, Inbox};
 use crate::link::{Cut, Identity, Inbound, Outbound};
-use crate::log::{self, Lines};
+use crate::log::{self, RequestLog};
 use crate::metrics::Metrics;
 use crate::options::{Options, arguments};
 
-/// Why the daemon could not start or go on.
+/// Errors that prevent the daemon from starting or make it exit.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// cannot listen on {address}: {error}
     Listen {
-        /// The address of the settings.
+        /// Address in the settings that could not be opened.
         address: String,
-        /// What the system says.
+        /// Error of the operating system.
         error: io::Error,
     },
     /// cannot listen for peers on {address}: {error}
     Peer {
-        /// The address of the settings.
+        /// Address in the settings that could not be opened.
         address: String,
-        /// What the library says.
+        /// Error of the nng library.
         error: nng::Error,
     },
     /// metrics cannot be set up: {0}
@@ -71,117 +73,118 @@
 
 impl std::error::Error for Error {}
 
-/// What the threads share.
+/// State and handles that all threads of the daemon share.
 #[derive(Clone)]
 pub struct Shared {
-    /// What the daemon runs with.
+    /// Options of the daemon: its settings with defaults filled in.
     pub options: Arc<Options>,
-    /// This instance as a peer.
-    pub me: Peer,
-    /// Incarnation of this process.
+    /// Name and peer address of this instance.
+    pub local_peer: Peer,
+    /// Incarnation number of this process.
     pub incarnation: u64,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Log of this instance.
+    /// Logger of this instance.
     pub log: Logger,
-    /// Lines about requests, within a budget.
-    pub lines: Lines,
-    /// Instruments of this instance.
+    /// Log of requests, limited to a budget of lines.
+    pub request_log: RequestLog,
+    /// Metrics of this instance.
     pub metrics: Metrics,
-    /// The sending half of the link.
+    /// The link over which this instance sends frames to its peers.
     pub outbound: Outbound,
-    /// Peers cut off by a test.
+    /// Addresses of peers whose frames a failure test drops.
     pub cut: Cut,
-    /// Whether the balancer should send callers here.
-    pub ready: Ready,
-    /// What is spoken with callers, servers and the platform.
+    /// Whether the load balancer should send requests to this instance.
+    pub ready: Readiness,
+    /// Protocols that this deployment uses with callers, servers and the platform.
     pub dialect: Arc<dyn Dialect>,
-    /// What a caller may send.
-    pub bounds: Limits,
-    /// To the control machine.
+    /// Bounds on the requests of callers.
+    pub caller_bounds: CallerBounds,
+    /// Handle of the control machine.
     pub control: Handle<ladder_core::control::Machine>,
-    /// To the gathering machine.
+    /// Handle of the gathering machine.
     pub gather: Handle<ladder_core::gather::Machine>,
-    /// To the leaf machine.
+    /// Handle of the leaf machine.
     pub leaf: Handle<ladder_core::leaf::Machine>,
 }
 
 impl Shared {
-    /// Seed of this process's random choices. The name belongs to it: instances that start in the
-    /// same microsecond would all draw the same waits.
+    /// Returns the seed of the random choices of this process. The seed includes the instance name:
+    /// without it, instances that start in the same microsecond would all draw the same delays.
     fn seed(&self) -> u64 {
-        Hasher::default().hash_one((&*self.me.name, self.incarnation))
+        Hasher::default().hash_one((&*self.local_peer.name, self.incarnation))
     }
 
-    /// Counts how a read of the platform ended and tells the control machine.
-    pub fn platform_read(&self, end: Event) {
-        let outcome = match end {
+    /// Counts the result of a platform read and sends it to the control machine.
+    pub fn platform_read(&self, result: Event) {
+        let outcome = match result {
             Event::Page(_) => "answered",
             Event::WatchExpired => "expired",
             _ => "failed",
         };
         self.metrics.platform_read(outcome);
-        self.control.tell(end);
+        self.control.tell(result);
     }
 }
 
-/// What a caller may send, by the routes in force.
+/// Bounds on the requests of callers, from the routes in force.
 #[derive(Clone, Debug, Default)]
-pub struct Limits(Arc<Mutex<Bounds>>);
+pub struct CallerBounds(Arc<Mutex<Bounds>>);
 
-impl Limits {
-    /// The bounds in force.
+impl CallerBounds {
+    /// Returns the bounds in force.
     pub fn get(&self) -> Bounds {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes over other bounds.
+    /// Replaces the bounds in force.
     pub fn set(&self, bounds: Bounds) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = bounds;
     }
 }
 
-/// Whether the balancer should send callers here: enough is known and no stop has begun.
+/// Whether the load balancer should send requests to this instance: the instance has enough records
+/// to serve and is not draining.
 #[derive(Clone, Debug, Default)]
-pub struct Ready {
-    known: Arc<AtomicBool>,
+pub struct Readiness {
+    initialised: Arc<AtomicBool>,
     draining: Arc<AtomicBool>,
 }
 
-impl Ready {
-    /// Says whether enough is known to serve.
-    pub fn set_known(&self, known: bool) {
-        self.known.store(known, Ordering::Relaxed);
+impl Readiness {
+    /// Sets whether the instance has enough records to serve.
+    pub fn set_initialised(&self, initialised: bool) {
+        self.initialised.store(initialised, Ordering::Relaxed);
     }
 
-    /// Says that a stop has begun.
-    pub fn drain(&self) {
+    /// Marks the instance as draining: a graceful shutdown has begun.
+    pub fn start_draining(&self) {
         self.draining.store(true, Ordering::Relaxed);
     }
 
-    /// Whether a stop has begun.
+    /// Whether the instance is draining, that is, a graceful shutdown has begun.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// Whether callers should come.
+    /// Whether the instance has enough records to serve and is not draining.
     pub fn is_ready(&self) -> bool {
-        self.known.load(Ordering::Relaxed) && !self.is_draining()
+        self.initialised.load(Ordering::Relaxed) && !self.is_draining()
     }
 }
 
-/// Exit code for settings that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code if the settings cannot be used.
+const INVALID_SETTINGS_EXIT_CODE: u8 = 2;
 
-/// The whole main function of the daemon called `name`: reads the command line and the settings, and
-/// runs.
+/// Main function of the daemon with the program name `name`: reads the command line and the
+/// settings file, then runs the daemon.
 pub fn main(name: &str, dialect: Arc<dyn Dialect>) -> ExitCode {
     let arguments = arguments::arguments().run();
     let options = match Options::load(&arguments) {
         Ok(options) => options,
         Err(error) => {
             eprintln!("{name}: {error}");
-            return ExitCode::from(BAD_SETTINGS);
+            return ExitCode::from(INVALID_SETTINGS_EXIT_CODE);
         }
     };
     if arguments.check_settings {
@@ -197,11 +200,11 @@
     }
 }
 
-/// Runs the daemon until it is told to stop, speaking `dialect`.
+/// Runs the daemon until it is asked to stop; `dialect` defines the protocols that it uses.
 ///
 /// # Errors
 ///
-/// [`Error`] when it cannot start.
+/// [`Error`] if the daemon cannot start.
 pub fn run(options: &Options, dialect: Arc<dyn Dialect>) -> Result<(), Error> {
     let settings = &options.instance;
     let callers = listen(&settings.caller_address)?;
@@ -220,19 +223,19 @@
     let cut = Cut::default();
     let clock = Clock::new();
     let incarnation = clock::incarnation();
-    let names = peer::Names::default();
+    let peer_names = peer::PeerNames::default();
     let outbound = Outbound::new(
         identity(options, incarnation),
         clock,
         metrics.clone(),
         cut.clone(),
-        peer::on_down(names.clone(), control.clone(), gather.clone()),
+        peer::on_disconnect(peer_names.clone(), control.clone(), gather.clone()),
     );
     let log = log::logger(&settings.log.unwrap_or_default(), &settings.name);
     let shared = Shared {
-        lines: Lines::new(log.clone(), clock),
+        request_log: RequestLog::new(log.clone(), clock),
         options: Arc::new(options.clone()),
-        me: Peer {
+        local_peer: Peer {
             name: Arc::from(settings.name.as_str()),
             address: Arc::from(settings.peer_address.as_str()),
         },
@@ -242,14 +245,14 @@
         metrics,
         outbound,
         cut,
-        ready: Ready::default(),
+        ready: Readiness::default(),
         dialect,
-        bounds: Limits::default(),
+        caller_bounds: CallerBounds::default(),
         control,
         gather,
         leaf,
     };
-    info!(shared.log, "starts"; "version" => env!("CARGO_PKG_VERSION"),
+    info!(shared.log, "instance starts"; "version" => env!("CARGO_PKG_VERSION"),
         "incarnation" => incarnation, "zone" => &settings.zone,
         "callers" => &settings.caller_address, "operators" => &settings.admin_address,
         "peers" => &settings.peer_address, "platform" => &settings.platform_address,
@@ -259,12 +262,13 @@
         control::run(shared, control_inbox, operators);
     })?;
     spawn("peer", &shared, move |shared| {
-        peer::run(&shared, &names, &socket);
+        peer::run(&shared, &peer_names, &socket);
     })?;
     stop::wait(&shared)
 }
 
-/// Starts the threads of the leaf and the gathering machine.
+/// Starts the threads of the leaf and the gathering machine, or one thread for both on a machine
+/// with one core.
 fn spawn_traffic(
     shared: &Shared,
     leaf_inbox: Inbox<ladder_core::leaf::Machine>,
@@ -285,12 +289,13 @@
     Ok(())
 }
 
-/// On one core two threads for traffic gain nothing, and each reply would cost two wake-ups more.
+/// Whether the process may use only one core. On one core, two threads for traffic have no benefit,
+/// and each reply would cost two more wake-ups.
 fn has_one_core() -> bool {
     thread::available_parallelism().is_ok_and(|cores| cores.get() == 1)
 }
 
-/// Who this process is to its peers.
+/// Returns the identity under which this process sends frames to peers.
 fn identity(options: &Options, incarnation: u64) -> Identity {
     let settings = &options.instance;
     Identity {
@@ -302,15 +307,15 @@
     }
 }
 
-/// A listener for a thread's own runtime.
+/// Opens a non-blocking listener that a thread can register with its own runtime.
 fn listen(address: &str) -> Result<TcpListener, Error> {
-    let fail = |error| Error::Listen { address: address.to_owned(), error };
-    let listener = TcpListener::bind(address).map_err(fail)?;
-    listener.set_nonblocking(true).map_err(fail)?;
+    let listen_error = |error| Error::Listen { address: address.to_owned(), error };
+    let listener = TcpListener::bind(address).map_err(listen_error)?;
+    listener.set_nonblocking(true).map_err(listen_error)?;
     Ok(listener)
 }
 
-/// Starts a named thread.
+/// Starts a thread with the name `name`.
 fn spawn<F>(name: &str, shared: &Shared, body: F) -> Result<(), Error>
 where
     F: FnOnce(Shared) + Send + 'static,
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -1,4 +1,5 @@
-//! Operators' HTTP: metrics, status, explanation of one request, drain, cuts for tests.
+//! The operators' HTTP interface: metrics, status, explanation of one request, release from
+//! quarantine, drain, and cut links for failure tests.
 
 use actix_http::body::BoxBody;
 use actix_http::{Method, Request, Response, StatusCode};
@@ -9,18 +10,18 @@
 use super::{Shared, status};
 use crate::http;
 
-/// What the operators' interface offers.
-const PATHS: &str = "GET /metrics, GET /status, GET /revision, GET /explain?key=KEY, POST /drain, \
+/// Response to an unknown path: the methods and paths of the operators' interface.
+const USAGE: &str = "GET /metrics, GET /status, GET /revision, GET /explain?key=KEY, POST /drain, \
      POST /release?request=FINGERPRINT, POST /cut\n";
 
-/// Takes operators' requests.
+/// Handles the HTTP requests of operators.
 #[derive(Clone)]
-pub struct Door {
+pub struct AdminApi {
     shared: Shared,
 }
 
-impl Door {
-    /// A door to the machines of `shared`.
+impl AdminApi {
+    /// Creates the operators' interface to the machines of `shared`.
     pub fn new(shared: Shared) -> Self {
         Self { shared }
     }
@@ -30,7 +31,7 @@
         match (request.method(), request.path()) {
             (&Method::GET, "/metrics") => http::text(StatusCode::OK, self.shared.metrics.text()),
             (&Method::GET, "/revision") => {
-                let revision = self.shared.control.ask(|machine| machine.view().revision).await;
+                let revision = self.shared.control.inspect(|machine| machine.view().revision).await;
                 http::text(StatusCode::OK, revision.unwrap_or_default().to_string())
             }
             (&Method::GET, "/status") => {
@@ -38,16 +39,16 @@
             }
             (&Method::GET, "/explain") => self.explain(&request).await,
             (&Method::POST, "/drain") => {
-                super::stop::request(&self.shared);
+                super::stop::begin(&self.shared);
                 http::text(StatusCode::ACCEPTED, "draining\n")
             }
             (&Method::POST, "/release") => self.release(&request),
             (&Method::POST, "/cut") => self.cut(&mut request).await,
-            _ => http::text(StatusCode::NOT_FOUND, PATHS),
+            _ => http::text(StatusCode::NOT_FOUND, USAGE),
         }
     }
 
-    /// Shows what happened to the requests of one key.
+    /// Returns the recorded steps of the requests with one key.
     async fn explain(&self, request: &Request) -> Response<BoxBody> {
         match http::parameter(request, "key") {
             Some(key) => {
@@ -58,10 +59,11 @@
         }
     }
 
-    /// Lets requests be served again that are refused because servers ended under them.
+    /// Releases a request from quarantine: it is executed again although server processes crashed
+    /// during it.
     fn release(&self, request: &Request) -> Response<BoxBody> {
-        let named = http::parameter(request, "request").unwrap_or_default();
-        match named.parse() {
+        let fingerprint = http::parameter(request, "request").unwrap_or_default();
+        match fingerprint.parse() {
             Ok(fingerprint) => {
                 self.shared.control.tell(Event::Released(fingerprint));
                 http::text(StatusCode::ACCEPTED, "released\n")
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Replaces the cut links, where the settings allow it.
+    /// Replaces the set of cut links, if the settings allow fault injection.
     async fn cut(&self, request: &mut Request) -> Response<BoxBody> {
         if !self.shared.options.instance.fault_injection {
             return http::text(StatusCode::FORBIDDEN, "faultInjection is off in the settings\n");
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,5 @@
-//! The control thread: the control machine, the watch of the platform, operators' HTTP.
+//! The control thread: the control machine, the watch of the platform and the operators' HTTP
+//! interface.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -14,15 +15,15 @@
 
 use super::dialect::Publication;
 use super::{Shared, admin};
-use crate::driver::{self, Driver, Inbox, Performer};
+use crate::driver::{self, ActionExecutor, Driver, Inbox};
 use crate::{http, log};
 
 impl driver::Machine for Machine {
     type Event = Event;
     type Action = Action;
 
-    fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        Machine::handle(self, now, event, out);
+    fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
+        Machine::handle(self, now, event, actions);
     }
 
     fn next_wake(&self) -> Option<Instant> {
@@ -38,28 +39,28 @@
     }
 }
 
-/// Carries out the control machine's actions.
-struct Performing {
+/// Carries out the actions of the control machine.
+struct ControlExecutor {
     shared: Shared,
     publication: Box<dyn Publication>,
 }
 
-impl Performing {
-    /// Publishes a view to the traffic threads.
+impl ControlExecutor {
+    /// Publishes a view to the gathering and the leaf machine.
     fn publish(&self, view: Arc<View>) {
         if view.ready {
-            self.shared.ready.set_known(true);
+            self.shared.ready.set_initialised(true);
         }
         if let Some(routing) = &view.routing {
-            self.shared.bounds.set(routing.bounds);
+            self.shared.caller_bounds.set(routing.bounds);
         }
         self.shared.gather.tell(gather::Event::View(Arc::clone(&view)));
         self.shared.leaf.tell(leaf::Event::View(view));
     }
 }
 
-impl Performer<Machine> for Performing {
-    fn perform(&mut self, _now: Instant, actions: &mut Vec<Action>) {
+impl ActionExecutor<Machine> for ControlExecutor {
+    fn execute(&mut self, _now: Instant, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Send { to, frame } => self.shared.outbound.send(&to, *frame),
@@ -81,31 +82,31 @@
     }
 }
 
-/// Runs the thread until the process ends.
+/// Runs the control machine and serves operators until the process ends.
 pub fn run(shared: Shared, inbox: Inbox<Machine>, listener: TcpListener) {
     let log = shared.log.clone();
     actix_rt::System::new().block_on(async move {
         let listener = match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(error) => {
-                error!(log, "operators cannot be served"; "error" => %error);
+                error!(log, "operators' HTTP interface cannot be served"; "error" => %error);
                 return;
             }
         };
-        let operators = admin::Door::new(shared.clone());
-        actix_rt::spawn(http::serve(listener, move |request| operators.clone().handle(request)));
+        let admin_api = admin::AdminApi::new(shared.clone());
+        actix_rt::spawn(http::serve(listener, move |request| admin_api.clone().handle(request)));
         let publication = shared.dialect.publication(&shared);
         let driver = Driver {
             machine: Machine::new(self::settings(&shared), shared.clock.now()),
             clock: shared.clock,
-            pause: shared.options.times.pause,
-            performer: Performing { shared, publication },
+            pause_threshold: shared.options.times.pause_threshold,
+            executor: ControlExecutor { shared, publication },
         };
         driver.run(inbox).await;
     });
 }
 
-/// Settings of the control machine.
+/// Builds the settings of the control machine.
 fn settings(shared: &Shared) -> Settings {
     let instance = &shared.options.instance;
     let times = &shared.options.times;
@@ -118,11 +119,11 @@
         _ => Listing::Published,
     };
     let timing = Timing {
-        probe: times.probe,
-        suspect: times.suspect,
-        dead: times.dead,
-        digest: times.digest,
-        contact: times.contact,
+        probe: times.probe_interval,
+        suspect: times.suspect_after,
+        dead: times.dead_after,
+        digest: times.digest_interval,
+        contact: times.contact_timeout,
         ..Timing::default()
     };
     Settings::builder(&instance.name, &instance.peer_address)
@@ -134,7 +135,7 @@
         .seeds(instance.seeds.iter().map(String::as_str))
         .placement(placement)
         .listing(listing)
-        .near(shared.options.strategy.near)
+        .near(shared.options.strategy.partial_aggregation)
         .timing(timing)
         .seed(shared.seed())
         .build()
--- a/src/entry/dialect.rs
+++ b/src/entry/dialect.rs
@@ -1,7 +1,7 @@
-//! What a deployment speaks with callers, servers and the platform.
+//! The protocols that a deployment uses with callers, servers and the platform.
 //!
-//! The daemon decides the same whatever is spoken. [`super::native`] is the product's own dialect; a
-//! deployment brings another one by implementing [`Dialect`] and handing it to
+//! The decisions of the daemon do not depend on these protocols. [`super::native`] is the built-in
+//! dialect; a deployment adds another one by implementing [`Dialect`] and passing it to
 //! [`entry::run`](super::run).
 
 use std::net::TcpListener;
@@ -21,41 +21,42 @@
 use crate::clock::Clock;
 use crate::driver::Handle;
 
-/// How a deployment speaks. Each part is made on the thread that uses it.
+/// The protocols of one deployment. Each part is created on the thread that uses it.
 pub trait Dialect: Send + Sync {
-    /// Serves callers and the balancer's question until the process ends.
+    /// Serves callers and the load balancer's readiness checks until the process ends.
     fn callers(&self, door: Door, listeners: Listeners) -> LocalBoxFuture<'static, ()>;
-    /// Connections to servers.
+    /// Creates the connections to servers.
     fn servers(&self, reports: Reports) -> Box<dyn Servers>;
-    /// Reads of the platform.
+    /// Creates the client that reads records from the platform.
     fn publication(&self, shared: &Shared) -> Box<dyn Publication>;
-    /// Whether servers take cancellations; elsewhere closing its connection ends a call.
+    /// Whether servers accept cancellation requests. If not, a call is cancelled by closing its
+    /// connection.
     fn cancels(&self) -> bool;
-    /// Whether servers are asked for load reports.
+    /// Whether this instance polls servers for load reports.
     fn probes(&self) -> bool;
 }
 
-/// Where callers and the balancer come in.
+/// Listeners for callers and the load balancer.
 #[derive(Debug)]
 pub struct Listeners {
-    /// Callers.
+    /// Listener for callers.
     pub callers: TcpListener,
-    /// The balancer, if it asks at an address of its own.
+    /// Listener for the load balancer's readiness checks, if they have their own address.
     pub ready: Option<TcpListener>,
 }
 
-/// Time spans of a connection to a server.
+/// Timeouts of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Spans {
-    /// Longest time to open it.
+    /// Longest time to open a connection.
     pub opening: Duration,
-    /// How long a new one is watched before it carries a call.
+    /// How long a new connection is observed before it carries a call.
     ///
-    /// A server that has too many accepts one more and resets it; a call on it would be lost without
-    /// a trace of whether it ran.
+    /// A server that is over its connection limit accepts one more connection and then resets it. A
+    /// call on that connection would be lost without any information on whether it was executed.
     pub proving: Duration,
-    /// How long before its server would close it an idle one is closed here: a call that crosses the
-    /// server's close would be lost.
+    /// An idle connection is closed this long before the server would close it. Otherwise a call
+    /// could be sent while the server closes the connection, and would be lost.
     pub spare: Duration,
 }
 
@@ -69,37 +70,39 @@
     }
 }
 
-/// Where connections report what happens to them.
+/// Handles through which connections to servers report their events.
 #[derive(Clone)]
 pub struct Reports {
-    /// Time spans that connections keep to.
+    /// Timeouts of the connections.
     pub spans: Spans,
-    /// To the leaf machine.
+    /// Handle of the leaf machine.
     pub leaf: Handle<leaf::Machine>,
-    /// To the control machine.
+    /// Handle of the control machine.
     pub control: Handle<control::Machine>,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
 }
 
-/// Connections to servers: carries out what the leaf machine asks for and reports how it ended, as
-/// [`leaf::Action`] says.
+/// Connections to servers. Carries out the connection actions of the leaf machine and reports how
+/// each one ended, as described at [`leaf::Action`].
 pub trait Servers {
-    /// Opens a connection to the server of this name.
+    /// Opens a connection to the server `server` at `address`.
     fn open(&self, lane: LaneKey, address: &Arc<str>, server: &Arc<str>);
-    /// Closes a connection; nothing more is reported of it.
+    /// Closes a connection; no further event is reported for it.
     fn close(&self, lane: LaneKey);
-    /// Sends a request; `until` is when it counts as lost.
+    /// Sends a request on a connection. The request counts as lost if no response has arrived by
+    /// `until`.
     fn send(&self, lane: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant);
-    /// Asks the server to cancel a request.
+    /// Asks the server to cancel the request `id`.
     fn cancel(&self, lane: LaneKey, id: &str);
-    /// Asks the server for its load.
+    /// Asks the server for a load report.
     fn probe(&self, lane: LaneKey, server: Arc<str>);
 }
 
-/// Reads of the platform, each answered by exactly one page, failure or expiry to the control
-/// machine.
+/// Reads records from the platform. Each read ends with exactly one event to the control machine: a
+/// page, a failure or an expired watch.
 pub trait Publication {
-    /// Starts a read. What takes several calls may be patient with each.
+    /// Starts a read. An implementation that needs several calls for one read may apply the read's
+    /// timeout to each call.
     fn read(&self, read: Read);
 }
--- a/src/entry/door.rs
+++ b/src/entry/door.rs
@@ -1,4 +1,4 @@
-//! The way of a caller's request to the gathering machine and of its answer back.
+//! Passes callers' requests to the gathering machine and its answers back to the callers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,39 +13,41 @@
 
 use super::Shared;
 
-/// Callers that wait for their answer.
+/// Callers that wait for their answers.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    /// Invariant: holds each open request once, under the number its machine event carries.
+pub struct WaitingCallers {
+    /// Invariant: holds each open request once, under the caller number that its [`Event::Call`]
+    /// carries.
     callers: Map<Caller, oneshot::Sender<call::Answer>>,
-    last: u64,
+    last_number: u64,
 }
 
-impl Waiting {
-    /// Gives an answer to its caller; a caller that is gone is not told.
+impl WaitingCallers {
+    /// Sends an answer to its caller; the answer is discarded if the caller has disconnected.
     pub fn answer(&mut self, caller: Caller, answer: call::Answer) {
         if let Some(sender) = self.callers.remove(&caller) {
             let _ = sender.send(answer);
         }
     }
 
-    /// Enters a new caller.
-    fn enter(&mut self) -> (Caller, oneshot::Receiver<call::Answer>) {
-        self.last += 1;
-        let caller = Caller(self.last);
+    /// Registers a new caller and returns its number and the receiver of its answer.
+    fn register(&mut self) -> (Caller, oneshot::Receiver<call::Answer>) {
+        self.last_number += 1;
+        let caller = Caller(self.last_number);
         let (sender, receiver) = oneshot::channel();
         self.callers.insert(caller, sender);
         (caller, receiver)
     }
 }
 
-/// Tells the machine when the caller closes its connection before the answer.
-struct Presence {
+/// Reports [`Event::Gone`] to the gathering machine if it is dropped before the answer was sent, as
+/// happens when the caller closes its connection.
+struct CallerGuard {
     door: Door,
     caller: Caller,
 }
 
-impl Drop for Presence {
+impl Drop for CallerGuard {
     fn drop(&mut self) {
         if self.door.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
             self.door.shared.gather.tell(Event::Gone(self.caller));
@@ -53,52 +55,55 @@
     }
 }
 
-/// Takes callers' requests; clones lead to the same machine.
+/// Accepts callers' requests; all clones pass them to the same gathering machine.
 #[derive(Clone)]
 pub struct Door {
     shared: Rc<Shared>,
-    waiting: Rc<RefCell<Waiting>>,
+    waiting: Rc<RefCell<WaitingCallers>>,
 }
 
 impl Door {
-    /// A door that enters callers into `waiting`.
-    pub fn new(shared: Shared, waiting: Rc<RefCell<Waiting>>) -> Self {
+    /// Creates a handler of callers' requests that registers the waiting callers in `waiting`.
+    pub fn new(shared: Shared, waiting: Rc<RefCell<WaitingCallers>>) -> Self {
         Self { shared: Rc::new(shared), waiting }
     }
 
-    /// Whether the balancer should send callers here.
+    /// Whether the load balancer should send requests to this instance.
     pub fn is_ready(&self) -> bool {
         self.shared.ready.is_ready()
     }
 
-    /// Whether a stop has begun: callers are to go elsewhere with their next request.
+    /// Whether the instance is draining, so that callers should send their next request to another
+    /// instance.
     pub fn is_draining(&self) -> bool {
         self.shared.ready.is_draining()
     }
 
-    /// What a caller may send, by the routes in force; all zero while none are.
+    /// Returns the bounds on callers' requests from the routes in force; all bounds are zero while
+    /// there are no routes.
     pub fn bounds(&self) -> Bounds {
-        self.shared.bounds.get()
+        self.shared.caller_bounds.get()
     }
 
-    /// Answers a request. Dropped before the end, it tells the machine that its caller has left.
+    /// Passes a request to the gathering machine and waits for the answer. If the returned future
+    /// is dropped before the answer, the machine is informed that the caller has disconnected.
     pub async fn ask(&self, request: call::Request) -> call::Answer {
         let key = request.key.clone();
-        let arrived = self.shared.clock.now();
-        let (caller, answered) = self.waiting.borrow_mut().enter();
-        let presence = Presence { door: self.clone(), caller };
+        let arrived_at = self.shared.clock.now();
+        let (caller, receiver) = self.waiting.borrow_mut().register();
+        let guard = CallerGuard { door: self.clone(), caller };
         self.shared.gather.tell(Event::Call { caller, request });
-        let answer = match answered.await {
+        let answer = match receiver.await {
             Ok(answer) => answer,
-            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "the instance ended"),
+            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "instance terminated"),
         };
-        drop(presence);
-        self.shared.metrics.answered(&answer, self.shared.clock.now().since(arrived));
+        drop(guard);
+        self.shared.metrics.answered(&answer, self.shared.clock.now().since(arrived_at));
         answer
     }
 }
 
-/// An answer that refuses a whole request.
+/// Creates an answer that refuses a whole request.
 pub fn refusal(key: String, reason: Reason, verdict: Verdict, detail: &str) -> call::Answer {
     call::Answer {
         key,
--- a/src/entry/gather.rs
+++ b/src/entry/gather.rs
@@ -1,4 +1,4 @@
-//! The gather thread: callers' HTTP and the gathering machine.
+//! The gather thread: the gathering machine and the callers' HTTP interface.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 
 use super::Shared;
 use super::dialect::Listeners;
-use super::door::{Door, Waiting};
-use crate::driver::{self, Driver, Inbox, Performer};
+use super::door::{Door, WaitingCallers};
+use crate::driver::{self, ActionExecutor, Driver, Inbox};
 
 impl driver::Machine for Machine {
     type Event = Event;
     type Action = Action;
 
-    fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        Machine::handle(self, now, event, out);
+    fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
+        Machine::handle(self, now, event, actions);
     }
 
     fn next_wake(&self) -> Option<Instant> {
@@ -37,20 +37,21 @@
     }
 }
 
-/// Carries out the gathering machine's actions.
-struct Performing {
+/// Carries out the actions of the gathering machine.
+struct GatherExecutor {
     shared: Shared,
-    waiting: Rc<RefCell<Waiting>>,
-    /// Frames of one batch by peer address; empty between batches.
+    waiting: Rc<RefCell<WaitingCallers>>,
+    /// Frames to send at the end of the current batch of actions, by peer address; empty between
+    /// batches.
     frames: Map<Arc<str>, Frame>,
 }
 
-impl Performing {
-    /// Hands work to the local leaf or adds it to its peer's frame.
+impl GatherExecutor {
+    /// Passes work to the local leaf machine, or adds it to the frame for its peer.
     fn send(&mut self, to: &Arc<str>, work: Work) {
-        if *to == self.shared.me.address {
+        if *to == self.shared.local_peer.address {
             self.shared.leaf.tell(leaf::Event::Work {
-                from: self.shared.me.clone(),
+                from: self.shared.local_peer.clone(),
                 incarnation: self.shared.incarnation,
                 work,
             });
@@ -59,10 +60,10 @@
         }
     }
 
-    /// Hands a cancellation to the local leaf or adds it to its peer's frame.
+    /// Passes a cancellation to the local leaf machine, or adds it to the frame for its peer.
     fn cancel(&mut self, to: &Arc<str>, cancel: Cancel) {
-        if *to == self.shared.me.address {
-            let from = Arc::clone(&self.shared.me.name);
+        if *to == self.shared.local_peer.address {
+            let from = Arc::clone(&self.shared.local_peer.name);
             self.shared.leaf.tell(leaf::Event::Cancel { from, cancel });
         } else {
             self.frames.entry(Arc::clone(to)).or_default().cancels.push(cancel);
@@ -70,8 +71,8 @@
     }
 }
 
-impl Performer<Machine> for Performing {
-    fn perform(&mut self, _now: Instant, actions: &mut Vec<Action>) {
+impl ActionExecutor<Machine> for GatherExecutor {
+    fn execute(&mut self, _now: Instant, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Answer { caller, answer } => {
@@ -82,7 +83,7 @@
                 Action::Refused(request) => {
                     self.shared.control.tell(control::Event::Asked(request));
                 }
-                Action::Log(account) => self.shared.lines.request(&account),
+                Action::Log(account) => self.shared.request_log.request(&account),
                 Action::Count(count) => self.shared.metrics.count(count),
             }
         }
@@ -92,23 +93,23 @@
     }
 }
 
-/// Runs the machine and serves callers until the process ends.
+/// Runs the gathering machine and serves callers until the process ends.
 pub async fn run(shared: Shared, inbox: Inbox<Machine>, listeners: Listeners) {
-    let waiting = Rc::new(RefCell::new(Waiting::default()));
+    let waiting = Rc::new(RefCell::new(WaitingCallers::default()));
     let door = Door::new(shared.clone(), Rc::clone(&waiting));
     actix_rt::spawn(shared.dialect.callers(door, listeners));
     let strategy = shared.options.strategy;
     let mut settings =
-        Settings::builder(&shared.me.name, shared.incarnation).hedging(strategy.hedging);
+        Settings::builder(&shared.local_peer.name, shared.incarnation).hedging(strategy.hedging);
     settings = settings.millicores(shared.options.millicores());
-    if strategy.near {
+    if strategy.partial_aggregation {
         settings = settings.near(&shared.options.instance.zone);
     }
     let driver = Driver {
         machine: Machine::new(settings.build()),
         clock: shared.clock,
-        pause: shared.options.times.pause,
-        performer: Performing { shared, waiting, frames: Map::default() },
+        pause_threshold: shared.options.times.pause_threshold,
+        executor: GatherExecutor { shared, waiting, frames: Map::default() },
     };
     driver.run(inbox).await;
 }
--- a/src/entry/leaf.rs
+++ b/src/entry/leaf.rs
@@ -14,15 +14,15 @@
 
 use super::Shared;
 use super::dialect::{Reports, Servers, Spans};
-use crate::driver::{self, Driver, Inbox, Performer};
+use crate::driver::{self, ActionExecutor, Driver, Inbox};
 use crate::log;
 
 impl driver::Machine for Machine {
     type Event = Event;
     type Action = Action;
 
-    fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        Machine::handle(self, now, event, out);
+    fn handle(&mut self, now: Instant, event: Event, actions: &mut Vec<Action>) {
+        Machine::handle(self, now, event, actions);
     }
 
     fn next_wake(&self) -> Option<Instant> {
@@ -38,31 +38,33 @@
     }
 }
 
-/// Carries out the leaf machine's actions.
-struct Performing {
+/// Carries out the actions of the leaf machine.
+struct LeafExecutor {
     shared: Shared,
     servers: Box<dyn Servers>,
-    /// Replies of one batch to the local gathering machine; empty between batches.
-    local: Vec<Reply>,
-    /// Frames of one batch by peer address; empty between batches.
+    /// Replies to the local gathering machine, sent at the end of the current batch of actions;
+    /// empty between batches.
+    local_replies: Vec<Reply>,
+    /// Frames to send at the end of the current batch of actions, by peer address; empty between
+    /// batches.
     frames: Map<Arc<str>, Frame>,
 }
 
-impl Performing {
-    /// Keeps a reply for the end of the batch.
-    fn reply(&mut self, to: &Peer, reply: Reply) {
-        if to.address == self.shared.me.address {
-            self.local.push(reply);
+impl LeafExecutor {
+    /// Stores a reply until the end of the current batch of actions.
+    fn queue_reply(&mut self, to: &Peer, reply: Reply) {
+        if to.address == self.shared.local_peer.address {
+            self.local_replies.push(reply);
         } else {
             self.frames.entry(Arc::clone(&to.address)).or_default().replies.push(reply);
         }
     }
 
-    /// Sends what the batch has gathered.
+    /// Sends the replies and frames that the current batch of actions has collected.
     fn flush(&mut self) {
-        if !self.local.is_empty() {
-            let from = Arc::clone(&self.shared.me.name);
-            let replies = std::mem::take(&mut self.local);
+        if !self.local_replies.is_empty() {
+            let from = Arc::clone(&self.shared.local_peer.name);
+            let replies = std::mem::take(&mut self.local_replies);
             self.shared.gather.tell(gather::Event::Replies { from, replies });
         }
         for (address, frame) in self.frames.drain() {
@@ -71,8 +73,8 @@
     }
 }
 
-impl Performer<Machine> for Performing {
-    fn perform(&mut self, now: Instant, actions: &mut Vec<Action>) {
+impl ActionExecutor<Machine> for LeafExecutor {
+    fn execute(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
                 Action::Open { lane, address, server } => {
@@ -84,16 +86,16 @@
                 }
                 Action::Cancel { lane, id } => self.servers.cancel(lane, &id),
                 Action::Probe { lane, server } => self.servers.probe(lane, server),
-                Action::Reply { to, reply } => self.reply(&to, reply),
+                Action::Reply { to, reply } => self.queue_reply(&to, reply),
                 Action::Pending { to, pending } => {
                     self.frames.entry(to.address).or_default().pending.push(pending);
                 }
-                Action::Log(trace) => self.shared.lines.trace(&trace),
+                Action::Log(trace) => self.shared.request_log.trace(&trace),
                 Action::Server { name, suspect, failure_rate } => {
-                    log::server(&self.shared.log, &name, suspect, failure_rate);
+                    log::server_standing(&self.shared.log, &name, suspect, failure_rate);
                 }
                 Action::Crashed { server, incarnation, at, requests } => {
-                    self.shared.lines.crashed(&server, incarnation, &requests);
+                    self.shared.request_log.crashed(&server, incarnation, &requests);
                     let incarnation = Incarnation { server, number: incarnation };
                     self.shared.control.tell(control::Event::Crashed { incarnation, at, requests });
                 }
@@ -111,20 +113,20 @@
     }
 }
 
-/// How long a call that nobody waits for may go on where servers take no cancellations: most end
-/// within it and their connections live on; a server that works half a second for a caller that has
-/// left works in vain.
-const LINGER: Duration = Duration::from_millis(250);
+/// How long a call whose caller has left may continue if servers accept no cancellations. Most
+/// calls end within this time, and their connections can be reused. The limit keeps a server from
+/// working much longer, such as half a second, on a result that no caller waits for.
+const ABANDONED_CALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Runs the machine until the process ends.
+/// Runs the leaf machine until the process ends.
 pub async fn run(shared: Shared, inbox: Inbox<Machine>) {
     let strategy = shared.options.strategy;
-    let settings = Settings::builder(&shared.me.name, shared.incarnation)
+    let settings = Settings::builder(&shared.local_peer.name, shared.incarnation)
         .selection(strategy.selection)
         .hedging(strategy.hedging)
         .queueing(strategy.queueing)
         .probing(shared.dialect.probes())
-        .linger((!shared.dialect.cancels()).then_some(LINGER))
+        .linger((!shared.dialect.cancels()).then_some(ABANDONED_CALL_TIMEOUT))
         .by_need(strategy.listing == settings::Listing::Observed)
         .zone(&shared.options.instance.zone)
         .seed(shared.seed())
@@ -139,8 +141,13 @@
     let driver = Driver {
         machine: Machine::new(settings),
         clock: shared.clock,
-        pause: shared.options.times.pause,
-        performer: Performing { shared, servers, local: Vec::new(), frames: Map::default() },
+        pause_threshold: shared.options.times.pause_threshold,
+        executor: LeafExecutor {
+            shared,
+            servers,
+            local_replies: Vec::new(),
+            frames: Map::default(),
+        },
     };
     driver.run(inbox).await;
 }
--- a/src/entry/native.rs
+++ b/src/entry/native.rs
@@ -1,4 +1,4 @@
-//! The product's own dialect: JSON over HTTP with callers, servers and the platform.
+//! The built-in dialect: JSON over HTTP with callers, servers and the platform.
 
 mod callers;
 mod lanes;
@@ -14,7 +14,7 @@
 pub use callers::decode;
 pub use lanes::{broken, outcome};
 
-/// The product's own dialect.
+/// The built-in dialect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
@@ -24,11 +24,11 @@
     }
 
     fn servers(&self, reports: Reports) -> Box<dyn Servers> {
-        Box::new(lanes::Lanes::new(reports))
+        Box::new(lanes::Connections::new(reports))
     }
 
     fn publication(&self, shared: &Shared) -> Box<dyn Publication> {
-        Box::new(records::Records::new(shared.clone()))
+        Box::new(records::RecordsClient::new(shared.clone()))
     }
 
     fn cancels(&self) -> bool {
--- a/src/entry/native/callers.rs
+++ b/src/entry/native/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' HTTP: `POST /query` and `GET /ready`.
+//! The callers' HTTP interface: `POST /query` and `GET /ready`.
 
 use actix_http::body::BoxBody;
 use actix_http::{ConnectionType, Method, Request, Response, StatusCode};
@@ -13,25 +13,26 @@
 use crate::entry::door::{Door, refusal};
 use crate::http::{self, BodyError};
 
-/// Serves callers and the balancer, at its own address where the settings name one.
+/// Serves callers and the load balancer; the load balancer at a separate address if the settings
+/// define one.
 pub(super) async fn serve(door: Door, listeners: Listeners) {
-    let desk = Desk { door };
+    let api = CallerApi { door };
     if let Some(ready) = listeners.ready.and_then(|ready| TcpListener::from_std(ready).ok()) {
-        let desk = desk.clone();
-        actix_rt::spawn(http::serve(ready, move |request| desk.clone().handle(request)));
+        let api = api.clone();
+        actix_rt::spawn(http::serve(ready, move |request| api.clone().handle(request)));
     }
     if let Ok(listener) = TcpListener::from_std(listeners.callers) {
-        http::serve(listener, move |request| desk.clone().handle(request)).await;
+        http::serve(listener, move |request| api.clone().handle(request)).await;
     }
 }
 
-/// Takes callers' requests.
+/// Handles the HTTP requests of callers and the load balancer.
 #[derive(Clone)]
-struct Desk {
+struct CallerApi {
     door: Door,
 }
 
-impl Desk {
+impl CallerApi {
     /// Answers one HTTP request.
     async fn handle(self, mut request: Request) -> Response<BoxBody> {
         match (request.method(), request.path()) {
@@ -60,25 +61,27 @@
         self.respond(&answer)
     }
 
-    /// An answer as an HTTP response.
+    /// Converts an answer to an HTTP response.
     fn respond(&self, answer: &call::Answer) -> Response<BoxBody> {
         let status = StatusCode::from_u16(gather::status(answer))
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut response = http::json(status, answer);
         if self.door.is_draining() {
-            // A request written to a kept connection right when the process ends would be cut and
-            // leave its caller without a verdict: connections are given up beforehand.
+            // A request that is sent on an open connection just when the process ends would be
+            // aborted and leave its caller without a verdict. Connections are therefore closed
+            // earlier, with the last answer.
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         response
     }
 }
 
-/// Decodes a request, or gives the refusal to answer with: nothing of it has run.
+/// Decodes a request, or returns the refusal to answer with; nothing of the request has been
+/// executed.
 ///
 /// # Errors
 ///
-/// The answer to give.
+/// The refusal to answer with.
 pub fn decode(body: Result<Bytes, BodyError>) -> Result<call::Request, Box<call::Answer>> {
     let refuse =
         |reason, detail: String| Box::new(refusal(String::new(), reason, Verdict::NotRun, &detail));
--- a/src/entry/native/lanes.rs
+++ b/src/entry/native/lanes.rs
@@ -1,4 +1,4 @@
-//! Connections to servers. Each lane is one HTTP client that holds one connection at most.
+//! Connections to servers. Each connection is an HTTP client that keeps at most one TCP connection.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -21,40 +21,43 @@
 use crate::clock::Clock;
 use crate::entry::dialect::{Reports, Servers};
 
-/// Longest time to open a connection, and to answer a load report or a cancellation.
-const SHORT: Duration = Duration::from_millis(2000);
-/// Connections are closed by decision of the core or by the server, never by age here.
-const AGE: Duration = Duration::from_secs(24 * 3600);
+/// Longest time to open a connection, and for the server to answer a load report or a cancellation.
+const SHORT_CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Idle timeout and lifetime of a connection in the HTTP client. It is long so that only the core
+/// or the server closes connections, never the client because of their age.
+const CONNECTION_LIFETIME: Duration = Duration::from_secs(24 * 3600);
 
-/// A connection's client and where it leads.
+/// The HTTP client of a connection and the server address that it connects to.
 #[derive(Clone)]
-struct Lane {
+struct Connection {
     client: Client,
     address: Arc<str>,
 }
 
-/// All lanes of the leaf thread; clones share them.
+/// All connections of the leaf thread; clones share them.
 #[derive(Clone)]
-pub(super) struct Lanes {
-    /// Invariant: holds the lanes that the machine holds open or is opening.
-    lanes: Rc<RefCell<Map<LaneKey, Lane>>>,
+pub(super) struct Connections {
+    /// Invariant: holds exactly the connections that the leaf machine considers open or being
+    /// opened.
+    connections: Rc<RefCell<Map<LaneKey, Connection>>>,
     reports: Reports,
 }
 
-impl Lanes {
-    /// No lanes yet.
+impl Connections {
+    /// Creates an empty set of connections.
     pub(super) fn new(reports: Reports) -> Self {
-        Self { lanes: Rc::default(), reports }
+        Self { connections: Rc::default(), reports }
     }
 
-    /// The lane of this key, unless it was closed.
-    fn get(&self, key: LaneKey) -> Option<Lane> {
-        self.lanes.borrow().get(&key).cloned()
+    /// Returns the connection `key`, unless it was closed.
+    fn get(&self, key: LaneKey) -> Option<Connection> {
+        self.connections.borrow().get(&key).cloned()
     }
 
-    /// Reports the lane idle after a whole exchange, closed otherwise.
-    fn settle(&self, key: LaneKey, whole: bool) {
-        if whole {
+    /// Reports the connection as idle if its last exchange was complete; otherwise closes it and
+    /// reports it as closed.
+    fn report_end(&self, key: LaneKey, complete: bool) {
+        if complete {
             self.reports.leaf.tell(Event::Opened(key));
         } else {
             self.close(key);
@@ -63,113 +66,122 @@
     }
 }
 
-impl Servers for Lanes {
-    /// Opens a connection by asking for the load, so that the first query finds it warm.
+impl Servers for Connections {
+    /// Opens a connection by requesting a load report, so that the first query needs no connection
+    /// setup.
     fn open(&self, key: LaneKey, address: &Arc<str>, _server: &Arc<str>) {
-        let lane = Lane { client: client(), address: Arc::clone(address) };
-        self.lanes.borrow_mut().insert(key, lane.clone());
-        let lanes = self.clone();
+        let connection = Connection { client: client(), address: Arc::clone(address) };
+        self.connections.borrow_mut().insert(key, connection.clone());
+        let connections = self.clone();
         actix_rt::spawn(async move {
-            match ask_load(&lane).await {
-                Ok(report) => lanes.settle(key, report.is_some()),
+            match ask_load(&connection).await {
+                Ok(report) => connections.report_end(key, report.is_some()),
                 Err(error) if is_refused(&error) => {
-                    lanes.close(key);
-                    lanes.reports.leaf.tell(Event::Refused(key));
+                    connections.close(key);
+                    connections.reports.leaf.tell(Event::Refused(key));
                 }
-                Err(_) => lanes.settle(key, false),
+                Err(_) => connections.report_end(key, false),
             }
         });
     }
 
     /// Closes a connection.
     fn close(&self, key: LaneKey) {
-        self.lanes.borrow_mut().remove(&key);
+        self.connections.borrow_mut().remove(&key);
     }
 
-    /// Sends a request and reports how it ended. `until` is when it counts as lost.
+    /// Sends a request and reports how it ended. The request counts as lost if no response has
+    /// arrived by `until`.
     fn send(&self, key: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant) {
-        let Some(lane) = self.get(key) else {
+        let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Ended { attempt, outcome: Outcome::Unsent });
             return;
         };
-        let lanes = self.clone();
+        let connections = self.clone();
         actix_rt::spawn(async move {
-            let outcome = call(&lane, &request, until, lanes.reports.clock).await;
-            // A connection that timed out midway still carries the late answer, which the next
-            // request on it would take for its own: only a whole exchange lets it live.
+            let outcome = call(&connection, &request, until, connections.reports.clock).await;
+            // A connection whose call timed out midway still carries the late response, which the
+            // next request on it would take for its own. Only a complete exchange lets the
+            // connection stay open.
             if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
-                lanes.close(key);
+                connections.close(key);
             }
-            lanes.reports.leaf.tell(Event::Ended { attempt, outcome });
+            connections.reports.leaf.tell(Event::Ended { attempt, outcome });
         });
     }
 
     /// Asks the server to cancel the request `id`.
     fn cancel(&self, key: LaneKey, id: &str) {
-        let Some(lane) = self.get(key) else {
+        let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Closed(key));
             return;
         };
-        let lanes = self.clone();
-        let url = format!("http://{}/cancel?id={id}", lane.address);
+        let connections = self.clone();
+        let url = format!("http://{}/cancel?id={id}", connection.address);
         actix_rt::spawn(async move {
-            let done = match lane.client.post(url).timeout(SHORT).send().await {
+            let done = match connection.client.post(url).timeout(SHORT_CALL_TIMEOUT).send().await {
                 Ok(mut response) => response.body().await.is_ok(),
                 Err(_) => false,
             };
-            lanes.settle(key, done);
+            connections.report_end(key, done);
         });
     }
 
-    /// Asks the server for its load.
+    /// Asks the server for a load report.
     fn probe(&self, key: LaneKey, server: Arc<str>) {
-        let Some(lane) = self.get(key) else {
+        let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Closed(key));
             return;
         };
-        let lanes = self.clone();
+        let connections = self.clone();
         actix_rt::spawn(async move {
-            let load = load(&lane).await;
+            let load = load(&connection).await;
             if let Some(report) = load.as_ref().filter(|report| report.leaving) {
-                lanes.reports.control.tell(control::Event::ServerLeaving {
+                connections.reports.control.tell(control::Event::ServerLeaving {
                     server: Arc::clone(&server),
                     incarnation: report.incarnation,
                 });
             }
-            lanes.settle(key, load.is_some());
-            lanes.reports.leaf.tell(Event::Load { server, load });
+            connections.report_end(key, load.is_some());
+            connections.reports.leaf.tell(Event::Load { server, load });
         });
     }
 }
 
-/// A client that holds one connection at most.
+/// Creates an HTTP client that keeps at most one connection.
 fn client() -> Client {
     let connector = Connector::new()
         .limit(1)
-        .timeout(SHORT)
-        .conn_keep_alive(AGE)
-        .conn_lifetime(AGE)
+        .timeout(SHORT_CALL_TIMEOUT)
+        .conn_keep_alive(CONNECTION_LIFETIME)
+        .conn_lifetime(CONNECTION_LIFETIME)
         .max_http_version(Version::HTTP_11);
     Client::builder()
         .connector(connector)
         .disable_redirects()
         .max_http_version(Version::HTTP_11)
-        .timeout(AGE)
+        .timeout(CONNECTION_LIFETIME)
         .finish()
 }
 
-/// Sends one request to its end.
+/// Sends one request and waits for its complete response until `until`.
 ///
-/// A process that was suspended between the decision and the write would send work whose deadline
-/// has passed: the time is read again right before the write, and late work is reported unsent.
-async fn call(lane: &Lane, request: &target::Request, until: Instant, clock: Clock) -> Outcome {
+/// A process that was paused between the decision to send and the write would send work whose
+/// deadline has passed. The clock is therefore read again right before the write, and late work is
+/// reported as unsent.
+async fn call(
+    connection: &Connection,
+    request: &target::Request,
+    until: Instant,
+    clock: Clock,
+) -> Outcome {
     let left = until.since(clock.now());
     if left.is_zero() {
         return Outcome::Unsent;
     }
-    let url = format!("http://{}/query", lane.address);
+    let url = format!("http://{}/query", connection.address);
     let end = tokio::time::Instant::now() + left;
-    let mut response = match timeout_at(end, lane.client.post(url).send_json(request)).await {
+    let mut response = match timeout_at(end, connection.client.post(url).send_json(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => return broken(&error),
         Err(_) => return Outcome::Lost,
@@ -182,11 +194,12 @@
     outcome(status, &body, &request.id)
 }
 
-/// What an exchange without a whole response means.
+/// Returns the outcome of an exchange that failed before a complete response.
 ///
-/// The client names a connection that ended after the request was written a failed connect too
-/// (`Disconnected`). Taken for unsent, a booking would be sent again to the other replica and run
-/// twice. Only errors that come before there is a connection prove that nothing was written.
+/// The HTTP client reports a connection that ended after the request was written as a failed
+/// connect, too (`Disconnected`). If that counted as unsent, a booking would be sent again to
+/// another replica and executed twice. Only errors from before a connection exists prove that
+/// nothing was written.
 pub fn broken(error: &SendRequestError) -> Outcome {
     let SendRequestError::Connect(error) = error else {
         return Outcome::Lost;
@@ -201,10 +214,10 @@
     }
 }
 
-/// What a target's whole response to the request `id` means.
+/// Returns the outcome of a complete response to the request `id`.
 ///
-/// A refusal counts as proof only when it names the request: anything else may come from a party
-/// on the way that doesn't know whether the request was started.
+/// A refusal proves that the request was not executed only if it names the request. Any other error
+/// may come from an intermediary that doesn't know whether the request was started.
 pub fn outcome(status: StatusCode, body: &[u8], id: &str) -> Outcome {
     match status {
         StatusCode::OK => decoded(body).map_or(Outcome::Error, Outcome::Answer),
@@ -215,25 +228,26 @@
     }
 }
 
-/// `body` as a message.
+/// Decodes `body` as a JSON message.
 fn decoded<T: DeserializeOwned>(body: &[u8]) -> Option<T> {
     serde_json::from_slice(body).ok()
 }
 
-/// Asks for a load report.
-async fn load(lane: &Lane) -> Option<target::Load> {
-    ask_load(lane).await.ok()?
+/// Requests a load report; `None` if the server does not send one.
+async fn load(connection: &Connection) -> Option<target::Load> {
+    ask_load(connection).await.ok()?
 }
 
-/// The same; an error when nothing answers, nothing when the answer is no report.
-async fn ask_load(lane: &Lane) -> Result<Option<target::Load>, SendRequestError> {
-    let url = format!("http://{}/load", lane.address);
-    let mut response = lane.client.get(url).timeout(SHORT).send().await?;
+/// Requests a load report. Returns an error if the server does not answer, and `None` if the answer
+/// is not a load report.
+async fn ask_load(connection: &Connection) -> Result<Option<target::Load>, SendRequestError> {
+    let url = format!("http://{}/load", connection.address);
+    let mut response = connection.client.get(url).timeout(SHORT_CALL_TIMEOUT).send().await?;
     let report: Result<target::Load, JsonPayloadError> = response.json().await;
     Ok(report.ok())
 }
 
-/// Whether nothing listens at the server's address.
+/// Whether the connection was refused because no process listens at the server's address.
 fn is_refused(error: &SendRequestError) -> bool {
     let SendRequestError::Connect(ConnectError::Io(error)) = error else {
         return false;
--- a/src/entry/native/records.rs
+++ b/src/entry/native/records.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's records.
+//! Reads records from the platform over HTTP.
 
 use awc::Client;
 use ladder_core::control::Event;
@@ -8,23 +8,23 @@
 use crate::entry::Shared;
 use crate::entry::dialect::Publication;
 
-/// Bytes of one page.
-const PAGE_BYTES: usize = 64 * 1024 * 1024;
+/// Largest accepted page of records, in bytes.
+const MAX_PAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Reads of the platform's records.
-pub(super) struct Records {
+/// Reads records from the platform over HTTP.
+pub(super) struct RecordsClient {
     shared: Shared,
     client: Client,
 }
 
-impl Records {
-    /// Reads of the platform that the settings name.
+impl RecordsClient {
+    /// Creates a client for the platform address in the settings.
     pub(super) fn new(shared: Shared) -> Self {
         Self { shared, client: Client::default() }
     }
 }
 
-impl Publication for Records {
+impl Publication for RecordsClient {
     fn read(&self, read: Read) {
         let Read { after, wait, patience } = read;
         let platform = &self.shared.options.instance.platform_address;
@@ -34,7 +34,7 @@
         let shared = self.shared.clone();
         shared.metrics.platform_call();
         actix_rt::spawn(async move {
-            shared.platform_read(match page(request).await {
+            shared.platform_read(match read_page(request).await {
                 Some(page) => Event::Page(page),
                 None => Event::WatchFailed,
             });
@@ -42,11 +42,12 @@
     }
 }
 
-/// The page of a response, if it is one.
-async fn page(request: awc::SendClientRequest) -> Option<Page> {
+/// Returns the page of records in a response; `None` if the call failed or the response is not a
+/// page.
+async fn read_page(request: awc::SendClientRequest) -> Option<Page> {
     let mut response = request.await.ok()?;
     if !response.status().is_success() {
         return None;
     }
-    response.json().limit(PAGE_BYTES).await.ok()
+    response.json().limit(MAX_PAGE_BYTES).await.ok()
 }
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -1,4 +1,4 @@
-//! Hands the parts of peers' frames to the machines.
+//! Passes the contents of peers' frames to the three machines.
 
 use std::sync::{Arc, RwLock};
 
@@ -11,33 +11,34 @@
 use super::Shared;
 use crate::driver::Handle;
 use crate::link::Inbound;
-use crate::link::outbound::OnDown;
+use crate::link::outbound::OnDisconnect;
 
-/// Names of peers by address, as their frames give them.
+/// Names of peers by peer address, as given in their frames.
 #[derive(Clone, Debug, Default)]
-pub struct Names(Arc<RwLock<Map<String, Arc<str>>>>);
+pub struct PeerNames(Arc<RwLock<Map<String, Arc<str>>>>);
 
-impl Names {
-    /// Remembers the sender of a frame.
-    fn learn(&self, address: &str, name: &str) {
+impl PeerNames {
+    /// Stores the name and address of the sender of a frame.
+    fn remember(&self, address: &str, name: &str) {
         let known = self.get(address).is_some_and(|known| &*known == name);
         if !known && let Ok(mut names) = self.0.write() {
             names.insert(address.to_owned(), Arc::from(name));
         }
     }
 
-    /// The name of the peer at `address`.
+    /// Returns the name of the peer at `address`.
     fn get(&self, address: &str) -> Option<Arc<str>> {
         self.0.read().ok()?.get(address).cloned()
     }
 }
 
-/// Tells the machines of a broken connection to a peer that was heard before.
-pub fn on_down(
-    names: Names,
+/// Returns a callback that reports a broken connection to the control and the gathering machine,
+/// provided that a frame from the peer was received before.
+pub fn on_disconnect(
+    names: PeerNames,
     control: Handle<control::Machine>,
     gather: Handle<gather::Machine>,
-) -> OnDown {
+) -> OnDisconnect {
     Arc::new(move |address| {
         if let Some(name) = names.get(address) {
             control.tell(control::Event::LinkDown(Arc::clone(&name)));
@@ -46,8 +47,8 @@
     })
 }
 
-/// Receives frames until the socket is closed.
-pub fn run(shared: &Shared, names: &Names, socket: &Socket) {
+/// Receives frames until the peer socket is closed.
+pub fn run(shared: &Shared, names: &PeerNames, socket: &Socket) {
     let inbound = Inbound {
         fleet: shared.options.instance.fleet.clone(),
         clock: shared.clock,
@@ -56,13 +57,13 @@
         log: shared.log.clone(),
     };
     inbound.run(socket, |frame| {
-        names.learn(&frame.address, &frame.from);
+        names.remember(&frame.address, &frame.from);
         shared.outbound.heard(&frame.address);
         deliver(shared, frame);
     });
 }
 
-/// Splits a frame between the machines.
+/// Passes each part of a frame to the machine that handles it.
 fn deliver(shared: &Shared, mut frame: Frame) {
     let from =
         Peer { name: Arc::from(frame.from.as_str()), address: Arc::from(frame.address.as_str()) };
@@ -74,7 +75,8 @@
     for cancel in frame.cancels.drain(..) {
         shared.leaf.tell(leaf::Event::Cancel { from: Arc::clone(&from.name), cancel });
     }
-    // Before the replies: by the time that these are taken, what they lack would count as lost.
+    // Pending notices go before the replies: once the gathering machine has processed the replies,
+    // it would count the portions that they lack as lost.
     for pending in frame.pending.drain(..) {
         shared.gather.tell(gather::Event::Pending { from: Arc::clone(&from.name), pending });
     }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the machines.
+//! The state of the machines as operators see it.
 
 use ladder_core::control::membership::Member;
 use ladder_core::control::quarantine::{Entry, Incarnation};
@@ -12,14 +12,18 @@
 
 use super::Shared;
 
-/// What one instance holds true.
+/// Returns the status of this instance.
 ///
-/// Each machine is asked by itself: the parts may be some milliseconds apart.
+/// Each machine is queried separately, so the parts of the status may be some milliseconds apart.
 pub async fn instance(shared: &Shared) -> status::Instance {
     let now = shared.clock.now();
-    let known = shared.control.ask(move |machine| known(machine, now)).await.unwrap_or_default();
-    let queues = shared.leaf.ask(move |machine| machine.status(now)).await.unwrap_or_default();
-    let mut services = known.services;
+    let control_status = shared
+        .control
+        .inspect(move |machine| control_status(machine, now))
+        .await
+        .unwrap_or_default();
+    let queues = shared.leaf.inspect(move |machine| machine.status(now)).await.unwrap_or_default();
+    let mut services = control_status.services;
     for service in &mut services {
         if let Some(queue) = queues.iter().find(|queue| *queue.name == *service.name) {
             service.queued = u32::try_from(queue.queued).unwrap_or(u32::MAX);
@@ -34,25 +38,25 @@
         ready: shared.ready.is_ready(),
         draining: shared.ready.is_draining(),
         services,
-        open_queries: count(shared.gather.ask(gather::Machine::open).await),
-        open_portions: count(shared.leaf.ask(leaf::Machine::open).await),
-        ..known
+        open_queries: count(shared.gather.inspect(gather::Machine::open).await),
+        open_portions: count(shared.leaf.inspect(leaf::Machine::open).await),
+        ..control_status
     }
 }
 
-/// What happened to the requests of `key`.
+/// Returns the recorded steps of the latest query with the request key `key`.
 pub async fn explanation(shared: &Shared, key: String) -> status::Explanation {
-    let found = shared.gather.ask(move |machine| machine.explain(&key).map(query)).await;
+    let found = shared.gather.inspect(move |machine| machine.explain(&key).map(query)).await;
     status::Explanation { queries: found.flatten().into_iter().collect() }
 }
 
-/// A machine's count as a message field.
+/// Converts a machine's count to a message field; 0 if the machine has ended.
 fn count(open: Option<usize>) -> u64 {
     open.unwrap_or(0) as u64
 }
 
-/// The control machine's part.
-fn known(machine: &control::Machine, now: Instant) -> status::Instance {
+/// Returns the part of the status that comes from the control machine.
+fn control_status(machine: &control::Machine, now: Instant) -> status::Instance {
     let view = machine.view();
     status::Instance {
         revision: view.revision,
@@ -66,7 +70,7 @@
     }
 }
 
-/// One member.
+/// Converts a member of the fleet to its status message.
 fn member(member: &Member) -> status::Member {
     status::Member {
         name: member.name.to_string(),
@@ -78,7 +82,7 @@
     }
 }
 
-/// All services in order of name.
+/// Returns the status of all services, ordered by name.
 fn services(machine: &control::Machine, view: &View) -> Vec<status::Service> {
     let mut services: Vec<_> =
         view.services.values().map(|found| service(machine, found)).collect();
@@ -86,7 +90,8 @@
     services
 }
 
-/// One service with the revision of its entry.
+/// Returns the status of one service with the revision of its catalogue entry; the leaf machine's
+/// counts are filled in later.
 fn service(machine: &control::Machine, service: &Service) -> status::Service {
     let key = Key::new(Kind::Entry, &service.name);
     let revision = machine.records().find(|(found, _)| **found == key);
@@ -100,13 +105,14 @@
     }
 }
 
-/// One evacuated zone.
+/// Converts an evacuated zone with its revision and number of servers to its status message.
 fn evacuation((zone, revision, servers): (&str, u64, usize)) -> status::Evacuation {
     let servers = u32::try_from(servers).unwrap_or(u32::MAX);
     status::Evacuation { zone: zone.to_owned(), revision, servers }
 }
 
-/// What is held of requests under which servers ended, in order of fingerprint.
+/// Returns the quarantine state of requests during which server processes crashed, ordered by
+/// fingerprint.
 fn quarantines(machine: &control::Machine, now: Instant) -> Vec<status::Quarantine> {
     let mut entries: Vec<_> =
         machine.quarantined().map(|(request, entry)| quarantine(*request, entry, now)).collect();
@@ -114,7 +120,7 @@
     entries
 }
 
-/// One of them.
+/// Converts the quarantine state of one request to its status message.
 fn quarantine(request: Fingerprint, entry: &Entry, now: Instant) -> status::Quarantine {
     status::Quarantine {
         fingerprint: request.to_string(),
@@ -124,7 +130,7 @@
     }
 }
 
-/// One refused record.
+/// Converts a refused record to its status message.
 fn refused(refusal: &Refusal) -> status::Refused {
     status::Refused {
         kind: refusal.key.kind.into(),
@@ -134,7 +140,8 @@
     }
 }
 
-/// The account of one query.
+/// Converts the recorded steps of one query to a status message, with times relative to its
+/// arrival.
 fn query(explanation: &gather::Explanation) -> status::Query {
     let arrived = explanation.steps.first().map_or_else(Default::default, |first| first.at);
     let steps = explanation.steps.iter().map(|stamp| {
@@ -145,7 +152,7 @@
     status::Query { key: explanation.key.clone(), query: explanation.query, steps: steps.collect() }
 }
 
-/// One step in words, with its reason and verdict.
+/// Describes one step of a query in words, with its reason and verdict.
 fn step(step: &gather::Step) -> status::Step {
     use gather::Step;
     let mut shown = status::Step::default();
@@ -168,10 +175,10 @@
             shown.reason = (*reason).into();
             format!("{from} replied for {service}")
         }
-        Step::Lost { owner, portions } => format!("gave up {portions} portions at {owner}"),
+        Step::Lost { owner, portions } => format!("{portions} portions lost at {owner}"),
         Step::Refused { detail } => format!("refused: {detail}"),
         Step::Withdrawn { portions } => format!("withdrew {portions} portions"),
-        Step::Gone => "the caller left".to_owned(),
+        Step::Gone => "the caller disconnected".to_owned(),
         Step::Answered { verdict, reason, covered, missing } => {
             shown.verdict = (*verdict).into();
             shown.reason = (*reason).into();
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,4 +1,4 @@
-//! The graceful stop.
+//! The graceful shutdown of an instance.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
 
 use super::{Error, Shared, reload};
 
-/// How long callers are still taken after the balancer is told, so that it notices first: most ask
-/// every second and believe the second answer.
-const NOTICE: Duration = Duration::from_millis(3000);
-/// Between looks at what is still open.
-const LOOK: Duration = Duration::from_millis(20);
-/// How long new callers are still refused as not run before the process ends: a broken connection
-/// would leave them without a verdict.
-const LINGER: Duration = Duration::from_millis(1000);
+/// How long new requests are still accepted after the instance reports that it is not ready, so
+/// that the load balancer notices first: most load balancers check every second and react to the
+/// second failed check.
+const NOT_READY_NOTICE: Duration = Duration::from_millis(3000);
+/// Interval between checks for open work and for the start of a drain.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long new requests are still refused as not executed before the process ends. A broken
+/// connection would leave their callers without a verdict.
+const REFUSAL_PERIOD: Duration = Duration::from_millis(1000);
 
-/// Waits for SIGTERM, SIGINT or an operator's drain, then stops gracefully.
+/// Waits for SIGTERM, SIGINT or an operator's drain request, then stops gracefully.
 ///
 /// # Errors
 ///
-/// [`Error::Signal`] when the handlers cannot be installed.
+/// [`Error::Signal`] if a signal handler cannot be installed.
 pub fn wait(shared: &Shared) -> Result<(), Error> {
     actix_rt::System::new().block_on(async {
         let mut terminate = signal(SignalKind::terminate()).map_err(Error::Signal)?;
         let mut interrupt = signal(SignalKind::interrupt()).map_err(Error::Signal)?;
         tokio::select! {
-            _ = terminate.recv() => request(shared),
-            _ = interrupt.recv() => request(shared),
-            () = requested(shared) => {}
+            _ = terminate.recv() => begin(shared),
+            _ = interrupt.recv() => begin(shared),
+            () = begun(shared) => {}
             ended = reload::watch(shared) => ended?,
         }
         drain(shared).await;
@@ -38,48 +39,50 @@
     })
 }
 
-/// Begins the stop: the balancer is told to look elsewhere.
-pub fn request(shared: &Shared) {
-    shared.ready.drain();
+/// Starts the graceful shutdown: the instance reports to the load balancer that it is not ready.
+pub fn begin(shared: &Shared) {
+    shared.ready.start_draining();
 }
 
-/// Waits until a stop has begun.
-async fn requested(shared: &Shared) {
+/// Waits until the instance is marked as draining.
+async fn begun(shared: &Shared) {
     while !shared.ready.is_draining() {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Finishes what is in flight, within the bound of the settings.
+/// Finishes the work in flight, within the drain timeout of the settings.
 ///
-/// Peers are told first, so that ownership moves while this instance still answers. New callers
-/// are taken for a short notice, since the balancer learns late that the instance is not ready.
+/// Peers are informed first, so that ownership of services moves to them while this instance still
+/// answers. New requests are accepted for a short time, since the load balancer learns late that
+/// the instance is not ready.
 async fn drain(shared: &Shared) {
-    info!(shared.log, "stop begins");
-    let bound = Instant::now() + shared.options.times.drain;
+    info!(shared.log, "graceful shutdown begins");
+    let deadline = Instant::now() + shared.options.times.drain_timeout;
     shared.control.tell(control::Event::Drain);
-    sleep(NOTICE.min(shared.options.times.drain * 5 / 8)).await;
+    sleep(NOT_READY_NOTICE.min(shared.options.times.drain_timeout * 5 / 8)).await;
     shared.leaf.tell(leaf::Event::Drain);
     shared.gather.tell(gather::Event::Drain);
     loop {
-        let open = open(shared).await;
+        let open = count_open(shared).await;
         if open == 0 {
-            info!(shared.log, "stop ends, nothing is open");
+            info!(shared.log, "graceful shutdown ends: no open work");
             break;
         }
-        if Instant::now() >= bound {
-            warn!(shared.log, "stop ends at its bound"; "open" => open);
+        if Instant::now() >= deadline {
+            warn!(shared.log, "graceful shutdown ends: drain timeout expired with open work";
+                "open" => open);
             shared.gather.tell(gather::Event::Cut);
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    sleep(LINGER).await;
+    sleep(REFUSAL_PERIOD).await;
 }
 
-/// Requests and portions still open.
-async fn open(shared: &Shared) -> usize {
-    let queries = shared.gather.ask(gather::Machine::open).await.unwrap_or(0);
-    let portions = shared.leaf.ask(leaf::Machine::open).await.unwrap_or(0);
+/// Returns the number of open queries and portions.
+async fn count_open(shared: &Shared) -> usize {
+    let queries = shared.gather.inspect(gather::Machine::open).await.unwrap_or(0);
+    let portions = shared.leaf.inspect(leaf::Machine::open).await.unwrap_or(0);
     queries + portions
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server on the calling thread, and JSON bodies.
+//! A small HTTP server that runs on the calling thread, and helpers for bodies and responses.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -13,10 +13,11 @@
 use futures_util::StreamExt;
 use tokio::net::TcpListener;
 
-/// How long an idle connection is kept; above the usual balancer's 60 s.
-const KEEP_ALIVE: Duration = Duration::from_secs(75);
+/// How long an idle connection stays open; longer than the 60 s idle timeout of most load
+/// balancers.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Why a request's body could not be read.
+/// Errors of reading a request body.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum BodyError {
@@ -28,16 +29,16 @@
 
 impl std::error::Error for BodyError {}
 
-/// Serves every connection of `listener` with `handler` on the calling thread, for ever.
+/// Serves every connection of `listener` with `handler` on the calling thread, without end.
 ///
-/// A handler's future is dropped when its caller closes the connection.
+/// The future of a handler is dropped if its caller closes the connection.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Response<BoxBody>> + 'static,
 {
     let factory = HttpService::build()
-        .keep_alive(KEEP_ALIVE)
+        .keep_alive(KEEP_ALIVE_TIMEOUT)
         .h1_allow_half_closed(false)
         .finish(fn_service(move |request: Request| {
             let answer = handler(request);
@@ -53,21 +54,21 @@
             Ok((stream, _)) => {
                 let service = Rc::clone(&service);
                 actix_rt::spawn(async move {
-                    // An error here is the caller's broken connection; there is no one to tell.
+                    // The only errors here are broken connections of callers; they need no report.
                     let _ = service.call(stream).await;
                 });
             }
-            // Out of file descriptors, most likely: give the open connections time to end.
+            // The process is probably out of file descriptors: wait for open connections to close.
             Err(_) => actix_rt::time::sleep(Duration::from_millis(50)).await,
         }
     }
 }
 
-/// Reads a body of at most `limit` bytes.
+/// Reads a request body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// [`BodyError`] when it is longer or cannot be read.
+/// [`BodyError`] if the body is longer than `limit` or cannot be read.
 pub async fn body(request: &mut Request, limit: usize) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let mut bytes = BytesMut::new();
@@ -81,7 +82,7 @@
     Ok(bytes.freeze())
 }
 
-/// A JSON response.
+/// Creates a response with `value` as its JSON body.
 pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Response<BoxBody> {
     match serde_json::to_vec(value) {
         Ok(body) => Response::build(status)
@@ -92,12 +93,12 @@
     }
 }
 
-/// A plain text response.
+/// Creates a plain text response.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response<BoxBody> {
     Response::build(status).body(body.into()).map_into_boxed_body()
 }
 
-/// The value of `name` in a query string, as it stands.
+/// Returns the value of the parameter `name` in the query string, without decoding.
 pub fn parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.uri().query()?.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The processes of sycamoreladder: shells that turn sockets and timers into events of
-//! [`ladder_core`] and carry out its actions.
+//! The processes of sycamoreladder. They turn socket and timer activity into events of the state
+//! machines in [`ladder_core`] and carry out the actions that these return.
 //!
-//! `ladder-entry` is the daemon of an instance ([`entry`]); `ladderctl` is the operators' command
-//! line ([`ctl`]).
+//! `ladder-entry` is the daemon of one instance ([`entry`]); `ladderctl` is the operators'
+//! command-line tool ([`ctl`]).
 
 pub mod clock;
 pub mod ctl;
--- a/src/link.rs
+++ b/src/link.rs
@@ -1,7 +1,9 @@
-//! Frames between instances over nng: one pull socket per instance, one push socket per peer.
+//! Frames between instances over nng: each instance has one pull socket, and one push socket per
+//! peer.
 //!
-//! Frames may be lost, never reordered within one connection. A frame lies in buffers while its
-//! receiver is suspended; [`inbound`] estimates that time and takes it off the budgets.
+//! Frames may be lost, but are never reordered within one connection. A frame waits in buffers
+//! while its receiver is paused; [`inbound`] estimates the waiting time and subtracts it from the
+//! frame's time budgets.
 
 pub mod inbound;
 pub mod outbound;
@@ -13,14 +15,14 @@
 pub use inbound::Inbound;
 pub use outbound::Outbound;
 
-/// Who this instance is to its peers.
+/// The identity under which an instance sends frames to its peers.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Fleet name.
     pub fleet: String,
     /// Instance name.
     pub name: String,
-    /// Incarnation of this process.
+    /// Incarnation number of this process.
     pub incarnation: u64,
     /// Peer address: IP number and port.
     pub address: String,
@@ -28,12 +30,12 @@
     pub zone: String,
 }
 
-/// Addresses whose frames are dropped in both directions, for failure tests.
+/// Peer addresses whose frames are dropped in both directions, for failure tests.
 #[derive(Clone, Debug, Default)]
 pub struct Cut(Arc<RwLock<Set<String>>>);
 
 impl Cut {
-    /// Replaces the addresses cut off.
+    /// Replaces the set of addresses whose links are cut.
     pub fn replace(&self, addresses: impl IntoIterator<Item = String>) {
         if let Ok(mut cut) = self.0.write() {
             *cut = addresses.into_iter().collect();
--- a/src/link/inbound.rs
+++ b/src/link/inbound.rs
@@ -15,29 +15,29 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// Frames received but not yet decoded.
+/// Most frames that are received but not yet decoded.
 const RECEIVE_BUFFER: i32 = 1024;
 
-/// The receiving half of the link.
+/// Receives frames from peers, checks them and passes them on.
 pub struct Inbound {
-    /// Fleet name; frames of others are refused.
+    /// Name of this instance's fleet; frames of other fleets are rejected.
     pub fleet: String,
-    /// The process's clock.
+    /// Clock of the process.
     pub clock: Clock,
-    /// Where drops are counted.
+    /// Metrics in which rejected frames are counted.
     pub metrics: Metrics,
-    /// Peers cut off by a test.
+    /// Addresses of peers whose frames a failure test drops.
     pub cut: Cut,
-    /// Log of this instance.
+    /// Logger of this instance.
     pub log: Logger,
 }
 
 impl Inbound {
-    /// Opens the socket at `address`.
+    /// Opens the peer socket at `address`.
     ///
     /// # Errors
     ///
-    /// When the address cannot be listened on.
+    /// An error of nng if the address cannot be listened on.
     pub fn listen(address: &str) -> nng::Result<Socket> {
         let socket = Socket::new(Protocol::Pull0)?;
         socket.set_opt::<RecvBufferSize>(RECEIVE_BUFFER)?;
@@ -46,13 +46,13 @@
         Ok(socket)
     }
 
-    /// Hands each good frame to `deliver`, until the socket is closed.
+    /// Passes each valid frame to `deliver` until the socket is closed.
     pub fn run(self, socket: &Socket, mut deliver: impl FnMut(Frame)) {
         let mut gauges = Gauges::default();
         while let Ok(message) = socket.recv() {
             match self.decode(&message) {
                 Ok(mut frame) => {
-                    self.age(&mut gauges, &mut frame);
+                    self.deduct_buffer_time(&mut gauges, &mut frame);
                     deliver(frame);
                 }
                 Err(reason) => self.metrics.dropped(reason),
@@ -70,28 +70,31 @@
         Ok(frame)
     }
 
-    /// Takes the time the frame lay in buffers off its work's budgets.
+    /// Subtracts the estimated time that the frame waited in buffers from the time budgets of its
+    /// work.
     ///
-    /// A process that was suspended finds old frames in its socket. Their budgets are relative, so
-    /// without this the work would look fresh and run for callers that gave up long ago.
-    fn age(&self, gauges: &mut Gauges, frame: &mut Frame) {
+    /// A process that was paused finds old frames in its socket. Their budgets are relative times,
+    /// so without this correction the work would look recent and would be executed for callers that
+    /// timed out long ago.
+    fn deduct_buffer_time(&self, gauges: &mut Gauges, frame: &mut Frame) {
         let sender = Arc::from(frame.from.as_str());
         let sent = frame.sent_us;
-        let age = gauges.age(sender, frame.incarnation, sent, self.clock.now());
+        let age_us = gauges.age(sender, frame.incarnation, sent, self.clock.now());
         for work in &mut frame.work {
-            work.budget_us = work.budget_us.saturating_sub(age);
+            work.budget_us = work.budget_us.saturating_sub(age_us);
             if let Some(collect) = &mut work.collect {
-                collect.timely_us = collect.timely_us.saturating_sub(age);
+                collect.timely_us = collect.timely_us.saturating_sub(age_us);
             }
         }
     }
 }
 
-/// Decodes a frame of `fleet`.
+/// Decodes a frame and checks that it comes from the fleet `fleet`.
 ///
 /// # Errors
 ///
-/// The reason to count: malformed, another protocol, another fleet.
+/// The drop reason to count: the frame is malformed, too large, of another protocol or of another
+/// fleet.
 pub fn decode(bytes: &[u8], fleet: &str) -> Result<Frame, Reason> {
     if bytes.len() > bounds::FRAME_BYTES {
         return Err(Reason::TooLarge);
--- a/src/link/outbound.rs
+++ b/src/link/outbound.rs
@@ -1,4 +1,4 @@
-//! Sends frames to peers.
+//! Sends frames to peers, over one connection per peer.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,68 +17,77 @@
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
-/// Frames that may wait for one peer's connection.
+/// Most frames that wait in the send buffer of one peer's connection.
 const SEND_BUFFER: i32 = 512;
-/// A connection without a frame for this long is closed when the next one is opened.
-const IDLE: Duration = Duration::from_secs(60);
-/// First and longest wait before a connection that was refused is tried again.
-const RECONNECT: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(1000));
+/// A connection that has carried no frame for this long is closed when another connection is
+/// opened.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Shortest and longest delay before a refused connection is attempted again.
+const RECONNECT_DELAY: (Duration, Duration) =
+    (Duration::from_millis(20), Duration::from_millis(1000));
 
-/// First and longest wait for a connection before it is dialled anew.
+/// First and longest time that a connection attempt may take before it is replaced by a new
+/// attempt; the time doubles with each attempt.
 ///
-/// A machine without power does not answer the packet that opens a connection, and the system sends it
-/// again only after a second. After a loss of all power whoever came back first had dialled machines
-/// that were not back yet, and knew of no other instance for a second.
-const PATIENCE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(1600));
+/// A machine without power does not answer the packet that opens a connection, and the operating
+/// system resends the packet only after a second. After a power failure of the whole fleet,
+/// instances that restarted early dialled machines that were still off, and knew of no other
+/// instance for a second.
+const DIAL_TIMEOUT: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_millis(1600));
 
-/// How long a peer that has to answer may say nothing before its connection is dialled anew.
+/// How long a peer may leave a frame unanswered that needs an answer, before its connection is
+/// opened again.
 ///
-/// A connection may go silent without either end being told; the system takes what is sent on it for a
-/// quarter of an hour. Its peer would be held dead and asked again on that connection, so that neither
-/// ever heard of the other. Beyond a suspicion by the membership, so that a peer that only stood still
-/// keeps its connection.
-const UNHEARD: Duration = Duration::from_secs(2);
+/// A connection can fail without notice to either end; the operating system then accepts data on it
+/// for a quarter of an hour. Its peer would be considered dead and probed again on the same
+/// connection, so that neither instance would ever receive frames from the other. The limit is
+/// longer than the time after which the membership suspects a peer, so that a peer that was only
+/// paused keeps its connection.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Told the address of a peer whose connection broke.
-pub type OnDown = Arc<dyn Fn(&str) + Send + Sync>;
+/// Callback that receives the address of a peer whose connection broke.
+pub type OnDisconnect = Arc<dyn Fn(&str) + Send + Sync>;
 
-/// The sending half of the link; clones share the sockets.
+/// Sends frames to peers; all clones share the sockets.
 #[derive(Clone)]
 pub struct Outbound {
     identity: Arc<Identity>,
-    /// The generation that frames name. Only the control thread changes it.
+    /// Generation that is written into every frame. Only the control thread changes it.
     generation: Arc<AtomicU64>,
     clock: Clock,
     metrics: Metrics,
     cut: Cut,
-    on_down: OnDown,
-    /// Invariant: at most one line per address.
-    lines: Arc<Mutex<Map<Arc<str>, Line>>>,
+    on_disconnect: OnDisconnect,
+    /// Invariant: holds at most one connection per address.
+    connections: Arc<Mutex<Map<Arc<str>, Connection>>>,
 }
 
-/// How far a socket's only connection has come.
+/// State of the only connection of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It is dialled.
+    /// The connection is being opened.
     Dialled,
-    /// It is there.
+    /// The connection is open.
     Connected,
-    /// It broke. The socket is replaced.
+    /// The connection broke, and its socket has to be replaced.
     Broken,
-    /// This side closes the socket; that its connection ends then is no loss.
+    /// This instance closes the socket; the end of the connection is then no loss.
     Closed,
 }
 
-/// The phase of a socket, and that nothing is sent on it after its connection has broken.
+/// State of a socket's connection. Its lock ensures that nothing is sent on the socket after the
+/// connection has broken.
 ///
-/// The library puts a connection that breaks while a frame leaves back among those that are free, and
-/// a later frame is handed to it when it has been freed: the process aborts. Seen as answers that
-/// callers never got, at one in forty losses of a peer. It calls back before it frees the connection;
-/// whoever sends holds the gate, so that nothing is sent after.
+/// If a connection breaks while a frame is being sent, nng returns it to its list of idle
+/// connections and may pass a later frame to it after it has been freed, which aborts the process.
+/// This was seen as answers that callers never received, in one of forty losses of a peer. nng
+/// calls the pipe callback before it frees the connection; every sender holds this lock, so that
+/// nothing is sent after that callback.
 #[derive(Clone)]
-struct Gate(Arc<Mutex<Phase>>);
+struct ConnectionState(Arc<Mutex<Phase>>);
 
-impl Gate {
+impl ConnectionState {
     fn new() -> Self {
         Self(Arc::new(Mutex::new(Phase::Dialled)))
     }
@@ -91,16 +100,16 @@
         *self.lock()
     }
 
-    fn connected(&self) {
+    fn mark_connected(&self) {
         let mut phase = self.lock();
         if *phase == Phase::Dialled {
             *phase = Phase::Connected;
         }
     }
 
-    /// The connection has ended, and no frame is being handed over any more. Says whether that is a
-    /// loss.
-    fn broke(&self) -> bool {
+    /// Records that the connection has ended; no frame is being sent at this time. Returns whether
+    /// the end is a loss, which it isn't if this instance closed the socket.
+    fn mark_broken(&self) -> bool {
         let mut phase = self.lock();
         let lost = *phase != Phase::Closed;
         if lost {
@@ -113,69 +122,80 @@
         *self.lock() = Phase::Closed;
     }
 
-    /// Hands a frame over while the socket may be sent on.
+    /// Passes a frame to the socket unless the connection is broken or closed. Returns whether the
+    /// frame was accepted.
     fn send(&self, socket: &Socket, bytes: &[u8]) -> bool {
         let phase = self.lock();
         matches!(*phase, Phase::Dialled | Phase::Connected) && socket.try_send(bytes).is_ok()
     }
 }
 
-/// The connection to one peer. A broken one is replaced together with its socket.
-struct Line {
+/// The connection to one peer. A broken connection is replaced together with its socket.
+struct Connection {
     socket: Socket,
-    gate: Gate,
-    /// When a frame was last handed to it.
-    used: Instant,
-    /// When a connection that is not there by then is dialled anew.
+    state: ConnectionState,
+    /// Time at which a frame was last passed to this connection.
+    last_used: Instant,
+    /// Time at which the connection is attempted again if it is not open by then.
     redial_at: Instant,
-    /// How long it is waited for.
-    patience: Duration,
-    /// When the first frame went out that the peer has to answer, of those since it was last heard.
-    asked: Option<Instant>,
+    /// How long this connection attempt may take before it is replaced by a new one.
+    timeout: Duration,
+    /// Time of the first frame that needs an answer from the peer, of those sent since a frame of
+    /// the peer was last received.
+    unanswered_since: Option<Instant>,
 }
 
-impl Line {
-    /// How long its successor waits for a connection; `None` while this one may be used.
-    fn replaced(&self, now: Instant) -> Option<Duration> {
-        match self.gate.phase() {
-            Phase::Dialled if now >= self.redial_at => Some((self.patience * 2).min(PATIENCE.1)),
-            Phase::Connected if self.is_silent(now) => Some(PATIENCE.0),
+impl Connection {
+    /// Returns the dial timeout of the connection that has to replace this one; `None` while
+    /// this connection is usable.
+    fn replacement_timeout(&self, now: Instant) -> Option<Duration> {
+        match self.state.phase() {
+            Phase::Dialled if now >= self.redial_at => Some((self.timeout * 2).min(DIAL_TIMEOUT.1)),
+            Phase::Connected if self.is_silent(now) => Some(DIAL_TIMEOUT.0),
             Phase::Dialled | Phase::Connected => None,
-            Phase::Broken | Phase::Closed => Some(PATIENCE.0),
+            Phase::Broken | Phase::Closed => Some(DIAL_TIMEOUT.0),
         }
     }
 
-    /// The peer was asked and said nothing for long.
+    /// Whether the peer has left a frame unanswered for [`ANSWER_TIMEOUT`] or longer.
     fn is_silent(&self, now: Instant) -> bool {
-        self.asked.is_some_and(|asked| now.since(asked) >= UNHEARD)
+        self.unanswered_since.is_some_and(|since| now.since(since) >= ANSWER_TIMEOUT)
     }
 
     fn close(&self) {
-        self.gate.close();
+        self.state.close();
         self.socket.close();
     }
 }
 
 impl Outbound {
-    /// A link without connections; they are opened by the first frame to each peer.
+    /// Creates a link without connections. A connection is opened by the first frame to its peer.
     pub fn new(
         identity: Identity,
         clock: Clock,
         metrics: Metrics,
         cut: Cut,
-        on_down: OnDown,
+        on_disconnect: OnDisconnect,
     ) -> Self {
         let generation = Arc::new(AtomicU64::new(identity.incarnation));
         let identity = Arc::new(identity);
-        Self { identity, generation, clock, metrics, cut, on_down, lines: Arc::default() }
+        Self {
+            identity,
+            generation,
+            clock,
+            metrics,
+            cut,
+            on_disconnect,
+            connections: Arc::default(),
+        }
     }
 
-    /// Names this generation in every frame from now on.
+    /// Sets the generation that is written into every later frame.
     pub fn set_generation(&self, generation: u64) {
         self.generation.store(generation, Ordering::Relaxed);
     }
 
-    /// Fills in the sender and hands the frame to the connection; it may be lost.
+    /// Fills in the sender and sends the frame to the peer at `address`. The frame may be lost.
     pub fn send(&self, address: &str, mut frame: Frame) {
         if self.cut.contains(address) {
             self.metrics.dropped(Reason::LinkCut);
@@ -185,15 +205,15 @@
         self.sign(&mut frame);
         let bytes = frame.encode_to_vec();
         self.metrics.sent(if traffic { "traffic" } else { "control" }, bytes.len());
-        let asks = !(frame.probes.is_empty() && frame.work.is_empty());
-        let line = self.line(address, asks);
-        let sent = line.is_some_and(|(socket, gate)| gate.send(&socket, &bytes));
+        let needs_answer = !(frame.probes.is_empty() && frame.work.is_empty());
+        let connection = self.connection_to(address, needs_answer);
+        let sent = connection.is_some_and(|(socket, state)| state.send(&socket, &bytes));
         if !sent {
             self.metrics.dropped(Reason::LinkFull);
         }
     }
 
-    /// Fills in who sends the frame and when.
+    /// Fills in the sender of the frame and the time of sending.
     fn sign(&self, frame: &mut Frame) {
         frame.protocol = bounds::PROTOCOL;
         frame.fleet.clone_from(&self.identity.fleet);
@@ -205,68 +225,74 @@
         frame.sent_us = self.clock.now().as_micros();
     }
 
-    /// Takes in that a frame of the peer at `address` came.
+    /// Records that a frame from the peer at `address` was received.
     pub fn heard(&self, address: &str) {
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(line) = lines.get_mut(address) {
-            line.asked = None;
+        let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        if let Some(connection) = connections.get_mut(address) {
+            connection.unanswered_since = None;
         }
     }
 
-    /// The socket to `address`, opened when there is none or its connection broke.
-    fn line(&self, address: &str, asks: bool) -> Option<(Socket, Gate)> {
+    /// Returns the socket to `address`; a new one is opened if there is none or the old one has to
+    /// be replaced. `needs_answer` says whether the next frame needs an answer from the peer.
+    fn connection_to(
+        &self,
+        address: &str,
+        needs_answer: bool,
+    ) -> Option<(Socket, ConnectionState)> {
         let now = self.clock.now();
-        let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut patience = PATIENCE.0;
-        if let Some(line) = lines.get_mut(address) {
-            line.used = now;
-            let Some(longer) = line.replaced(now) else {
-                if asks {
-                    line.asked.get_or_insert(now);
+        let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut timeout = DIAL_TIMEOUT.0;
+        if let Some(connection) = connections.get_mut(address) {
+            connection.last_used = now;
+            let Some(next_timeout) = connection.replacement_timeout(now) else {
+                if needs_answer {
+                    connection.unanswered_since.get_or_insert(now);
                 }
-                return Some((line.socket.clone(), line.gate.clone()));
+                return Some((connection.socket.clone(), connection.state.clone()));
             };
-            line.close();
-            patience = longer;
+            connection.close();
+            timeout = next_timeout;
         }
-        close_idle(&mut lines, now);
-        let mut line = self.open(address, now, patience).ok()?;
-        line.asked = asks.then_some(now);
-        let usable = (line.socket.clone(), line.gate.clone());
-        lines.insert(Arc::from(address), line);
+        close_idle(&mut connections, now);
+        let mut connection = self.open(address, now, timeout).ok()?;
+        connection.unanswered_since = needs_answer.then_some(now);
+        let usable = (connection.socket.clone(), connection.state.clone());
+        connections.insert(Arc::from(address), connection);
         Some(usable)
     }
 
-    /// Opens a socket that connects in the background.
-    fn open(&self, address: &str, now: Instant, patience: Duration) -> nng::Result<Line> {
+    /// Opens a socket that connects to `address` in the background.
+    fn open(&self, address: &str, now: Instant, timeout: Duration) -> nng::Result<Connection> {
         let socket = Socket::new(Protocol::Push0)?;
         socket.set_opt::<SendBufferSize>(SEND_BUFFER)?;
-        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT.0))?;
-        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT.1))?;
-        let gate = Gate::new();
-        let watch = gate.clone();
-        let on_down = Arc::clone(&self.on_down);
+        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_DELAY.0))?;
+        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_DELAY.1))?;
+        let state = ConnectionState::new();
+        let callback_state = state.clone();
+        let on_disconnect = Arc::clone(&self.on_disconnect);
         let peer: Arc<str> = Arc::from(address);
         socket.pipe_notify(move |_, event| match event {
-            PipeEvent::AddPost => watch.connected(),
-            PipeEvent::RemovePost if watch.broke() => on_down(&peer),
+            PipeEvent::AddPost => callback_state.mark_connected(),
+            PipeEvent::RemovePost if callback_state.mark_broken() => on_disconnect(&peer),
             _ => {}
         })?;
         socket.dial_async(&format!("tcp://{address}"))?;
-        let redial_at = now + patience;
-        Ok(Line { socket, gate, used: now, redial_at, patience, asked: None })
+        let redial_at = now + timeout;
+        Ok(Connection { socket, state, last_used: now, redial_at, timeout, unanswered_since: None })
     }
 }
 
-/// Closes connections that carried nothing for a while.
+/// Closes connections that carried no frame for [`IDLE_TIMEOUT`].
 ///
-/// Digests go to random peers: without it an instance of a large fleet would in time hold a
-/// connection to every other one, and to those that were replaced.
-fn close_idle(lines: &mut Map<Arc<str>, Line>, now: Instant) {
-    lines.retain(|_, line| {
-        let keep = now.since(line.used) < IDLE;
+/// Anti-entropy digests go to random peers. If idle connections were not closed, an instance of a
+/// large fleet would in time keep a connection to every other instance, including instances that
+/// have been replaced.
+fn close_idle(connections: &mut Map<Arc<str>, Connection>, now: Instant) {
+    connections.retain(|_, connection| {
+        let keep = now.since(connection.last_used) < IDLE_TIMEOUT;
         if !keep {
-            line.close();
+            connection.close();
         }
         keep
     });
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! Loggers by settings, and the lines about decisions.
+//! Creates the logger of an instance and writes the log lines about decisions.
 
 mod lines;
 
@@ -8,9 +8,10 @@
 use ladder_schema::settings::{Format, Level, Log};
 use slog::{Drain, Logger, info, o, warn};
 
-pub use lines::Lines;
+pub use lines::RequestLog;
 
-/// A logger to standard output as `settings` ask: JSON lines or text for people.
+/// Creates a logger to standard output with the level and format of `settings`: JSON lines or
+/// human-readable text.
 pub fn logger(settings: &Log, instance: &str) -> Logger {
     let level = match settings.level() {
         Level::Error => slog::Level::Error,
@@ -23,37 +24,39 @@
         Format::Human => {
             let decorator = slog_term::TermDecorator::new().stdout().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
-            Logger::root(detached(drain).filter_level(level).fuse(), values)
+            Logger::root(asynchronous(drain).filter_level(level).fuse(), values)
         }
         Format::Json | Format::Unspecified => {
             let drain = slog_json::Json::default(std::io::stdout()).fuse();
-            Logger::root(detached(drain).filter_level(level).fuse(), values)
+            Logger::root(asynchronous(drain).filter_level(level).fuse(), values)
         }
     }
 }
 
-/// Lines that wait for whoever reads the log; beyond it lines are dropped and counted in the log.
-const WAITING: usize = 512;
+/// Most lines that wait to be written to standard output. Further lines are dropped, and the number
+/// of dropped lines is logged.
+const MAX_WAITING_LINES: usize = 512;
 
-/// Writes from a thread of its own: a reader of the log that stands still would otherwise stop all
-/// threads that have something to say, and with them every request.
-fn detached<D>(drain: D) -> slog_async::Async
+/// Writes log lines on a separate thread. If the reader of standard output stops reading, direct
+/// writes would block every thread that logs, and with it every request.
+fn asynchronous<D>(drain: D) -> slog_async::Async
 where
     D: Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
-    slog_async::Async::new(drain).chan_size(WAITING).build()
+    slog_async::Async::new(drain).chan_size(MAX_WAITING_LINES).build()
 }
 
-/// Writes a change of what an instance believes.
+/// Logs a change in the state that the control machine keeps.
 pub fn belief(log: &Logger, belief: &Belief) {
     match belief {
         Belief::PlatformLost { revision, failure } => {
-            warn!(log, "platform lost"; "revision" => revision, "failures" => failure.failures,
-                "waited_ms" => millis(failure.waited), "again_in_ms" => millis(failure.pause));
+            warn!(log, "platform unreachable"; "revision" => revision,
+                "failures" => failure.failures, "waited_ms" => whole_millis(failure.waited),
+                "again_in_ms" => whole_millis(failure.pause));
         }
         Belief::PlatformRegained { revision, silence } => {
-            info!(log, "platform regained"; "revision" => revision,
-                "silent_ms" => millis(*silence));
+            info!(log, "platform reachable again"; "revision" => revision,
+                "silent_ms" => whole_millis(*silence));
         }
         Belief::Records { from, revision, count, withdrawn } => {
             let from = if from.is_empty() { "platform" } else { from };
@@ -61,7 +64,8 @@
                 "records" => count, "withdrawn" => withdrawn);
         }
         Belief::Doubted { count, live } => {
-            warn!(log, "withdrawals doubted"; "servers" => count, "live" => live);
+            warn!(log, "withdrawals of servers deferred as implausible"; "servers" => count,
+                "live" => live);
         }
         Belief::Routes { version, revision } => {
             info!(log, "routes in force"; "version" => version, "revision" => revision);
@@ -83,18 +87,19 @@
                 "revision" => revision, "servers" => servers);
         }
         Belief::Member { name, before, now } => {
-            info!(log, "member turned"; "member" => &**name, "before" => ?before, "now" => ?now);
+            info!(log, "member state changed"; "member" => &**name,
+                "before" => ?before, "now" => ?now);
         }
     }
 }
 
-fn millis(span: Duration) -> u64 {
+fn whole_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Writes that a server is held back because of its outcomes, or not any more.
-pub fn server(log: &Logger, name: &str, suspect: bool, failure_rate: f64) {
+/// Logs that a server is held back because of failed calls, or that it is used normally again.
+pub fn server_standing(log: &Logger, name: &str, suspect: bool, failure_rate: f64) {
     let standing = if suspect { "held back" } else { "trusted again" };
-    info!(log, "server turned"; "server" => name, "standing" => standing,
+    info!(log, "server state changed"; "server" => name, "standing" => standing,
         "failure_rate" => format!("{failure_rate:.2}"));
 }
--- a/src/log/lines.rs
+++ b/src/log/lines.rs
@@ -1,4 +1,4 @@
-//! Lines about requests: one for each decision, within a budget.
+//! Log lines about requests: one for each decision, limited to a budget.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -11,43 +11,45 @@
 
 use crate::clock::Clock;
 
-/// Lines that a second pays for.
-const PER_SECOND: u32 = 120;
-/// Lines that may be saved up: the first seconds of a fault are the ones that explain it.
-const BURST: u32 = 1200;
+/// Number of log lines by which the budget grows per second.
+const LINES_PER_SECOND: u32 = 120;
+/// Most lines that the budget can accumulate, since the first seconds of a fault are the ones that
+/// explain it.
+const MAX_SAVED_LINES: u32 = 1200;
 
-/// How many lines may be written, and how many were not.
+/// Budget of log lines, and the number of requests whose lines were dropped.
 #[derive(Debug)]
 struct Budget {
-    /// Lines saved up; at most [`BURST`].
-    left: u32,
-    /// Requests or portions whose lines were dropped since it was last said.
+    /// Lines that may be written now; at most [`MAX_SAVED_LINES`].
+    available: u32,
+    /// Number of requests and portions whose lines were dropped since this number was last logged.
     dropped: u32,
-    /// When the second began that has been paid for last.
-    paid: Instant,
+    /// Time up to which the budget has been refilled.
+    refilled_at: Instant,
 }
 
-/// Writes lines about requests; clones share one budget.
+/// Logs the handling of requests; all clones share one budget.
 ///
-/// In overload every request ends badly and would be logged in full, which would cost the processor
-/// that the requests lack. What is beyond the budget is dropped whole, story by story, and counted.
+/// In overload every request fails and would be logged in full, which would take processor time
+/// from the requests. All lines of a request or portion that exceed the budget are dropped together
+/// and counted.
 #[derive(Clone, Debug)]
-pub struct Lines {
+pub struct RequestLog {
     log: Logger,
     clock: Clock,
     budget: Arc<Mutex<Budget>>,
 }
 
-impl Lines {
-    /// Lines to `log`.
+impl RequestLog {
+    /// Creates a request log that writes to `log`.
     pub fn new(log: Logger, clock: Clock) -> Self {
-        let budget = Budget { left: BURST, dropped: 0, paid: clock.now() };
+        let budget = Budget { available: MAX_SAVED_LINES, dropped: 0, refilled_at: clock.now() };
         Self { log, clock, budget: Arc::new(Mutex::new(budget)) }
     }
 
-    /// Writes the account of a query, one line for each step.
+    /// Logs the recorded steps of a query, one line for each step.
     pub fn request(&self, account: &Explanation) {
-        if !self.pay(account.steps.len() as u32) {
+        if !self.take(account.steps.len() as u32) {
             return;
         }
         let arrived = account.steps.first().map(|stamp| stamp.at).unwrap_or_default();
@@ -60,7 +62,7 @@
         let at = micros(after);
         match step {
             Step::Arrived { attempt, fingerprint } => {
-                info!(self.log, "request"; "id" => id, "at_us" => at, "attempt" => attempt,
+                info!(self.log, "request received"; "id" => id, "at_us" => at, "attempt" => attempt,
                     "fingerprint" => %fingerprint);
             }
             Step::Routed { route, deadline, target } => {
@@ -72,26 +74,27 @@
                     "portions" => portions, "missing" => missing);
             }
             Step::Sent { to, round, portions, again } => {
-                info!(self.log, "handed over"; "id" => id, "at_us" => at, "to" => &**to,
+                info!(self.log, "portions sent"; "id" => id, "at_us" => at, "to" => &**to,
                     "round" => round, "portions" => portions,
                     "again" => again.map(|reason| reason.as_str_name()));
             }
             Step::Replied { from, service, verdict, reason } => {
-                info!(self.log, "part"; "id" => id, "at_us" => at, "from" => &**from,
+                info!(self.log, "part received"; "id" => id, "at_us" => at, "from" => &**from,
                     "service" => &**service, "verdict" => verdict.as_str_name(),
                     "reason" => reason.as_str_name());
             }
             Step::Lost { owner, portions } => {
-                info!(self.log, "given up"; "id" => id, "at_us" => at, "owner" => &**owner,
+                info!(self.log, "portions lost"; "id" => id, "at_us" => at, "owner" => &**owner,
                     "portions" => portions);
             }
             Step::Refused { detail } => {
                 info!(self.log, "refused"; "id" => id, "at_us" => at, "detail" => &**detail);
             }
             Step::Withdrawn { portions } => {
-                info!(self.log, "withdrawn"; "id" => id, "at_us" => at, "portions" => portions);
+                info!(self.log, "portions withdrawn"; "id" => id, "at_us" => at,
+                    "portions" => portions);
             }
-            Step::Gone => info!(self.log, "caller left"; "id" => id, "at_us" => at),
+            Step::Gone => info!(self.log, "caller disconnected"; "id" => id, "at_us" => at),
             Step::Answered { verdict, reason, covered, missing } => {
                 info!(self.log, "answered"; "id" => id, "at_us" => at,
                     "verdict" => verdict.as_str_name(), "reason" => reason.as_str_name(),
@@ -100,26 +103,26 @@
         }
     }
 
-    /// Writes what was decided for a portion: a line for each call and one for its end.
+    /// Logs the handling of a portion: one line for each call and one for the end of the portion.
     pub fn trace(&self, trace: &Trace) {
-        if !self.pay(trace.trials.len() as u32 + 1) {
+        if !self.take(trace.trials.len() as u32 + 1) {
             return;
         }
         for trial in &trace.trials {
             self.trial(trace, trial);
         }
-        info!(self.log, "portion"; "id" => &*trace.id, "service" => &*trace.service,
+        info!(self.log, "portion finished"; "id" => &*trace.id, "service" => &*trace.service,
             "version" => trace.version, "took_us" => micros(trace.took),
             "verdict" => trace.verdict.as_str_name(), "reason" => trace.reason.as_str_name(),
             "retry_after_us" => micros(trace.retry_after), "calls" => trace.trials.len());
     }
 
-    /// Writes that a server ended while requests were there.
+    /// Logs that a server process crashed while requests were in progress there.
     pub fn crashed(&self, server: &str, incarnation: u64, requests: &[Fingerprint]) {
-        if self.pay(1) {
+        if self.take(1) {
             let requests: Vec<String> = requests.iter().map(Fingerprint::to_string).collect();
-            warn!(self.log, "server ended"; "server" => server, "incarnation" => incarnation,
-                "requests" => requests.join(" "));
+            warn!(self.log, "server process crashed"; "server" => server,
+                "incarnation" => incarnation, "requests" => requests.join(" "));
         }
     }
 
@@ -137,30 +140,31 @@
             "reason" => end.map(|end| end.reason.as_str_name()));
     }
 
-    /// Takes lines from the budget; `false` when they are too many.
-    fn pay(&self, lines: u32) -> bool {
+    /// Takes `lines` from the budget. Returns `false` and counts a dropped request if the budget
+    /// has too few lines left.
+    fn take(&self, lines: u32) -> bool {
         let now = self.clock.now();
         let mut budget = self.budget.lock().unwrap_or_else(PoisonError::into_inner);
-        let passed = now.since(budget.paid);
-        if passed >= Duration::from_secs(1) {
-            let earned = passed.as_secs_f64() * f64::from(PER_SECOND);
-            budget.left = budget.left.saturating_add(earned as u32).min(BURST);
-            budget.paid = now;
+        let elapsed = now.since(budget.refilled_at);
+        if elapsed >= Duration::from_secs(1) {
+            let refill = elapsed.as_secs_f64() * f64::from(LINES_PER_SECOND);
+            budget.available = budget.available.saturating_add(refill as u32).min(MAX_SAVED_LINES);
+            budget.refilled_at = now;
             let dropped = std::mem::take(&mut budget.dropped);
             if dropped > 0 {
-                warn!(self.log, "lines dropped"; "stories" => dropped);
+                warn!(self.log, "log lines dropped, budget exhausted"; "stories" => dropped);
             }
         }
-        let paid = budget.left >= lines;
-        match paid {
-            true => budget.left -= lines,
+        let affordable = budget.available >= lines;
+        match affordable {
+            true => budget.available -= lines,
             false => budget.dropped += 1,
         }
-        paid
+        affordable
     }
 }
 
-/// Whole microseconds.
+/// Converts a duration to whole microseconds.
 fn micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one instance, scraped by operators.
+//! Counters and histograms of one instance, in Prometheus format.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// The instruments of one process; clones share them.
+/// The metrics of one process; all clones share them.
 #[derive(Clone)]
 pub struct Metrics {
     registry: Registry,
-    // Held because instruments stop when their provider is dropped.
+    // Kept because the metrics stop recording if their provider is dropped.
     _provider: SdkMeterProvider,
     refusals: Counter<u64>,
     retries: Counter<u64>,
@@ -30,19 +30,19 @@
 }
 
 impl Metrics {
-    /// Instruments with a registry of their own.
+    /// Creates the metrics and a registry for them.
     ///
     /// # Errors
     ///
-    /// When the exporter cannot be registered.
+    /// An error of the OpenTelemetry SDK if the exporter cannot be registered.
     pub fn new() -> Result<Self, OTelSdkError> {
         let registry = Registry::new();
         let exporter =
             opentelemetry_prometheus::exporter().with_registry(registry.clone()).build()?;
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter: Meter = provider.meter("ladder");
-        let counter = |name: &'static str, text: &'static str| {
-            meter.u64_counter(name).with_description(text).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter.u64_counter(name).with_description(description).build()
         };
         Ok(Self {
             refusals: counter("ladder_refusals", "Requests or portions refused, by reason"),
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Steps the counter of a core event.
+    /// Increments the counter of an event that the core reports.
     pub fn count(&self, count: Count) {
         let counter = match count.event {
             Event::Refusal => &self.refusals,
@@ -77,12 +77,12 @@
         counter.add(1, &[KeyValue::new("reason", count.reason.as_str_name())]);
     }
 
-    /// Counts a dropped message that never reached the core.
+    /// Counts a message that was dropped before it reached the core.
     pub fn dropped(&self, reason: Reason) {
         self.count(Count { event: Event::Drop, reason });
     }
 
-    /// Counts an answer to a caller, given after `elapsed`.
+    /// Counts an answer to a caller that was sent `elapsed` after the request arrived.
     pub fn answered(&self, answer: &Answer, elapsed: Duration) {
         let coverage = match (answer.covered.is_empty(), answer.missing.is_empty()) {
             (true, _) => "none",
@@ -97,7 +97,7 @@
         self.latency.record(elapsed.as_secs_f64(), &[]);
     }
 
-    /// Counts a frame handed to the link; `part` is `control` or `traffic`.
+    /// Counts a frame that is sent to a peer; `part` is `control` or `traffic`.
     pub fn sent(&self, part: &'static str, bytes: usize) {
         let part = [KeyValue::new("part", part)];
         self.peer_bytes.add(bytes as u64, &part);
@@ -109,15 +109,15 @@
         self.platform_calls.add(1, &[]);
     }
 
-    /// Counts how a read of the platform ended: `answered`, `expired` or `failed`.
+    /// Counts a finished platform read by its result: `answered`, `expired` or `failed`.
     pub fn platform_read(&self, outcome: &'static str) {
         self.platform_reads.add(1, &[KeyValue::new("outcome", outcome)]);
     }
 
-    /// All instruments in the text format of scrapers.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buffer = Vec::new();
-        // Writing to a buffer in memory fails only on invalid names, which are constants here.
+        // Encoding to memory fails only for invalid metric names, and the names here are constants.
         let _ = TextEncoder::new().encode(&self.registry.gather(), &mut buffer);
         String::from_utf8_lossy(&buffer).into_owned()
     }
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,7 +1,7 @@
-//! Options of the daemon: command-line arguments and the settings file, joined into what runs.
+//! Options of the daemon, from the command-line arguments and the settings file.
 //!
-//! [`arguments`] is what the operator typed, [`file`] what the settings file says once checked, and
-//! [`Options`] what the daemon runs with: the only type that the rest of the program sees.
+//! [`arguments`] parses the command line, [`file`] reads and checks the settings file, and
+//! [`Options`] combines both with the defaults. The rest of the program uses only [`Options`].
 
 pub mod arguments;
 pub mod file;
@@ -14,69 +14,72 @@
 use arguments::Arguments;
 
 /// Default of `timing.probe_ms`.
-pub const PROBE_MS: u32 = 250;
+pub const DEFAULT_PROBE_MS: u32 = 250;
 /// Default of `timing.suspect_ms`.
-pub const SUSPECT_MS: u32 = 1000;
+pub const DEFAULT_SUSPECT_MS: u32 = 1000;
 /// Default of `timing.dead_ms`.
-pub const DEAD_MS: u32 = 1000;
+pub const DEFAULT_DEAD_MS: u32 = 1000;
 /// Default of `timing.digest_ms`.
-pub const DIGEST_MS: u32 = 1000;
+pub const DEFAULT_DIGEST_MS: u32 = 1000;
 /// Default of `timing.pause_ms`.
-pub const PAUSE_MS: u32 = 1000;
+pub const DEFAULT_PAUSE_MS: u32 = 1000;
 /// Default of `timing.drain_ms`.
-pub const DRAIN_MS: u32 = 20_000;
+pub const DEFAULT_DRAIN_MS: u32 = 20_000;
 /// Default of `timing.contact_ms`.
-pub const CONTACT_MS: u32 = 4000;
-/// Kept of `timing.grace_s` for the end of the process itself.
-const LAST: Duration = Duration::from_millis(1300);
+pub const DEFAULT_CONTACT_MS: u32 = 4000;
+/// Part of `timing.grace_s` that is reserved for the end of the process after the drain.
+const EXIT_RESERVE: Duration = Duration::from_millis(1300);
 
-/// What the daemon runs with.
+/// Options of the daemon: its settings with defaults filled in.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The file that the settings come from, if any; it is read again when it changes.
-    pub source: Option<PathBuf>,
-    /// The checked settings, as written.
+    /// Path of the settings file, if the settings come from a file; it is read again when it
+    /// changes.
+    pub settings_path: Option<PathBuf>,
+    /// The checked settings, as written in the file, without defaults.
     pub instance: Instance,
-    /// How work reaches servers, defaults filled in.
+    /// How portions are sent to servers, with defaults filled in.
     pub strategy: Strategy,
-    /// Times, defaults filled in.
+    /// Intervals and timeouts, with defaults filled in.
     pub times: Times,
 }
 
-/// How work reaches servers.
+/// How portions are sent to servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Strategy {
-    /// One owner per service, or every instance by itself.
+    /// Whether one owner instance sends all portions of a service, or every instance sends its own.
     pub placement: Placement,
-    /// How a server is chosen.
+    /// How a server is selected for a call.
     pub selection: Selection,
-    /// Second copies to another replica.
+    /// Whether slow calls are hedged with a second copy to another replica.
     pub hedging: bool,
-    /// Hold work beyond the servers' slots in a queue.
+    /// Whether portions beyond the servers' slots wait in a queue.
     pub queueing: bool,
-    /// Where the number of instances comes from.
+    /// Source of the number of instances: published records or observed members.
     pub listing: Listing,
-    /// Parts of sweeps are collected near their servers.
-    pub near: bool,
+    /// Whether partial results of sweeps are aggregated by an instance in the zone of their
+    /// servers.
+    pub partial_aggregation: bool,
 }
 
-/// Times of the daemon.
+/// Intervals and timeouts of the daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
-    /// Between probes of a neighbour.
-    pub probe: Duration,
-    /// Silence before a neighbour is suspected.
-    pub suspect: Duration,
-    /// Suspicion before a member is held dead.
-    pub dead: Duration,
-    /// Between digests to a random peer.
-    pub digest: Duration,
-    /// A gap that counts as a suspension of the process.
-    pub pause: Duration,
-    /// How long a stop waits for work in flight.
-    pub drain: Duration,
-    /// From the moment at which the platform can be reached, until this instance has heard from it.
-    pub contact: Duration,
+    /// Interval between probes of a neighbour.
+    pub probe_interval: Duration,
+    /// Time without an answer after which a neighbour is suspected.
+    pub suspect_after: Duration,
+    /// Time after which a suspected member is considered dead.
+    pub dead_after: Duration,
+    /// Interval between anti-entropy digests to a random peer.
+    pub digest_interval: Duration,
+    /// A delay of a thread's wake-up longer than this counts as a process pause.
+    pub pause_threshold: Duration,
+    /// How long a graceful shutdown waits for work in flight.
+    pub drain_timeout: Duration,
+    /// Longest time from the moment at which the platform is reachable until this instance has
+    /// received data from it.
+    pub contact_timeout: Duration,
 }
 
 impl Options {
@@ -84,16 +87,16 @@
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the file, each with field, value and allowed range.
+    /// All invalid fields of the file, each with its name, value and allowed range.
     pub fn load(arguments: &Arguments) -> Result<Self, file::Error> {
         let mut instance = file::load(&arguments.settings)?;
         if let Some(level) = arguments.log_level {
             instance.log.get_or_insert_default().set_level(level);
         }
-        Ok(Self { source: Some(arguments.settings.clone()), ..Self::new(instance) })
+        Ok(Self { settings_path: Some(arguments.settings.clone()), ..Self::new(instance) })
     }
 
-    /// Thousandths of a processor core that the process may use; at least 1.
+    /// Returns the processor cores that the process may use, in thousandths; at least 1.
     pub fn millicores(&self) -> u32 {
         match self.instance.cores {
             0.0 => 1000,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Fills in the defaults of checked settings.
+    /// Fills in the defaults of settings that have been checked.
     pub fn new(instance: Instance) -> Self {
         let strategy = instance.strategy.unwrap_or_default();
         let strategy = Strategy {
@@ -119,38 +122,38 @@
                 Listing::Unspecified => Listing::Published,
                 chosen => chosen,
             },
-            near: strategy.gathering() == Gathering::Near,
+            partial_aggregation: strategy.gathering() == Gathering::Near,
         };
         let times = Times::new(&instance.timing.unwrap_or_default());
-        Self { source: None, instance, strategy, times }
+        Self { settings_path: None, instance, strategy, times }
     }
 }
 
 impl Times {
-    /// Fills in the defaults.
+    /// Fills in the defaults of all times.
     fn new(timing: &Timing) -> Self {
         Self {
-            probe: millis(timing.probe_ms, PROBE_MS),
-            suspect: millis(timing.suspect_ms, SUSPECT_MS),
-            dead: millis(timing.dead_ms, DEAD_MS),
-            digest: millis(timing.digest_ms, DIGEST_MS),
-            pause: millis(timing.pause_ms, PAUSE_MS),
-            drain: drain(timing),
-            contact: millis(timing.contact_ms, CONTACT_MS),
+            probe_interval: millis(timing.probe_ms, DEFAULT_PROBE_MS),
+            suspect_after: millis(timing.suspect_ms, DEFAULT_SUSPECT_MS),
+            dead_after: millis(timing.dead_ms, DEFAULT_DEAD_MS),
+            digest_interval: millis(timing.digest_ms, DEFAULT_DIGEST_MS),
+            pause_threshold: millis(timing.pause_ms, DEFAULT_PAUSE_MS),
+            drain_timeout: drain_timeout(timing),
+            contact_timeout: millis(timing.contact_ms, DEFAULT_CONTACT_MS),
         }
     }
 }
 
-/// How long a stop may wait for work in flight.
-fn drain(timing: &Timing) -> Duration {
+/// Returns how long a graceful shutdown may wait for work in flight.
+fn drain_timeout(timing: &Timing) -> Duration {
     if timing.grace_s > 0.0 {
         let grace = Duration::from_secs_f64(timing.grace_s);
-        return grace.saturating_sub(LAST).max(grace / 4);
+        return grace.saturating_sub(EXIT_RESERVE).max(grace / 4);
     }
-    millis(timing.drain_ms, DRAIN_MS)
+    millis(timing.drain_ms, DEFAULT_DRAIN_MS)
 }
 
-/// `value` in milliseconds, `default` when it is 0.
+/// Converts `value` milliseconds to a duration; uses `default` if it is 0.
 fn millis(value: u32, default: u32) -> Duration {
     let value = if value == 0 { default } else { value };
     Duration::from_millis(u64::from(value))
--- a/src/options/arguments.rs
+++ b/src/options/arguments.rs
@@ -5,42 +5,42 @@
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use ladder_schema::settings::Level;
 
-/// What the operator typed.
+/// Parsed command-line arguments of the daemon.
 #[derive(Clone, Debug)]
 pub struct Arguments {
-    /// Replaces the settings' log level.
+    /// Log level that replaces the one of the settings, if given.
     pub log_level: Option<Level>,
-    /// Check the settings file and stop.
+    /// Whether to check the settings file and exit.
     pub check_settings: bool,
-    /// The settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
 }
 
-/// Parser of the command line.
+/// Returns the parser of the command line.
 pub fn arguments() -> OptionParser<Arguments> {
     let log_level = long("log-level")
-        .help("Least level to log, in place of the settings': error, warning, info or debug")
+        .help("Minimum level to log, overrides the settings: error, warning, info or debug")
         .argument::<String>("LEVEL")
         .parse(|name| level(&name))
         .optional();
     let check_settings = long("check-settings")
-        .help("Check the settings file, name each mistake, and stop: 0 if it is sound, 2 if not")
+        .help("Check the settings file, name each error, and exit: 0 if it is valid, 2 if not")
         .switch();
     let settings = positional::<PathBuf>("SETTINGS").help("Settings of the instance, a JSON file");
     construct!(Arguments { log_level, check_settings, settings })
         .to_options()
         .descr("Runs one instance of the query tier.")
-        .footer("Exit codes: 0 stopped as asked, 1 failed while running, 2 bad settings.")
+        .footer("Exit codes: 0 stopped as requested, 1 failed while running, 2 invalid settings.")
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-/// The log level of this name.
+/// Converts the name of a log level.
 fn level(name: &str) -> Result<Level, String> {
     match name {
         "error" => Ok(Level::Error),
         "warning" => Ok(Level::Warning),
         "info" => Ok(Level::Info),
         "debug" => Ok(Level::Debug),
-        other => Err(format!("{other:?} is no level: error, warning, info or debug")),
+        other => Err(format!("{other:?} is not a log level: use error, warning, info or debug")),
     }
 }
--- a/src/options/file.rs
+++ b/src/options/file.rs
@@ -8,30 +8,32 @@
 use ladder_schema::bounds;
 use ladder_schema::settings::{Allowance, Gathering, Instance, Placement, Strategy, Timing};
 
-/// Allowed bounds of a stop in seconds.
-const GRACE_S: std::ops::RangeInclusive<f64> = 0.5..=600.0;
-/// Allowed processor cores.
-const CORES: std::ops::RangeInclusive<f64> = 0.001..=1024.0;
-/// How many times its published rate a server that warms up may get.
-const OVERSHOOT: std::ops::RangeInclusive<f64> = 1.0..=100.0;
-/// Longest window over which operators count extra calls, in seconds.
-const LONGEST_WINDOW_S: u32 = 3600;
-
-/// Why settings are not usable.
+/// Allowed range of `timing.graceS`, the time limit of a graceful shutdown, in seconds.
+const GRACE_RANGE_S: std::ops::RangeInclusive<f64> = 0.5..=600.0;
+/// Allowed range of `cores`, the processor cores that the process may use.
+const CORES_RANGE: std::ops::RangeInclusive<f64> = 0.001..=1024.0;
+/// Allowed range of `allowance.warmupOvershoot`: by how many times a server in warm-up may exceed
+/// its published rate.
+const WARMUP_OVERSHOOT_RANGE: std::ops::RangeInclusive<f64> = 1.0..=100.0;
+/// Largest allowed `allowance.extraWindowS`, the window in which extra calls are counted, in
+/// seconds.
+const MAX_EXTRA_WINDOW_S: u32 = 3600;
+
+/// Errors of loading a settings file.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// settings file {path:?} cannot be read: {error}
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         error: std::io::Error,
     },
     /// settings are not valid JSON for this program: {0}
     Malformed(serde_json::Error),
     /// settings are not usable: {0}
-    Invalid(Mistakes),
+    Invalid(InvalidFields),
 }
 
 impl std::error::Error for Error {}
@@ -39,62 +41,67 @@
 /// {field}: {value:?} is not allowed, only {allowed}
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(displaydoc::Display)]
-pub struct Mistake {
-    /// Path of the field.
+pub struct InvalidField {
+    /// JSON path of the field.
     pub field: String,
-    /// Its value.
+    /// Value of the field in the settings.
     pub value: String,
-    /// What is allowed.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// Everything that is wrong with one file, a line each.
+/// All invalid fields of one settings file, displayed on one line each.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistakes(pub Vec<Mistake>);
+pub struct InvalidFields(pub Vec<InvalidField>);
 
-impl fmt::Display for Mistakes {
+impl fmt::Display for InvalidFields {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.0.iter().try_for_each(|mistake| write!(f, "\n  {mistake}"))
+        self.0.iter().try_for_each(|invalid_field| write!(f, "\n  {invalid_field}"))
     }
 }
 
-/// Allowed range of a time in milliseconds.
-struct Range {
+/// A time setting with its allowed range, in milliseconds.
+struct TimeSetting {
     field: &'static str,
     value: u32,
     least: u32,
     most: u32,
 }
 
-/// Reads and checks the file at `path`.
+/// Reads and checks the settings file at `path`.
 ///
 /// # Errors
 ///
-/// [`Error`]; [`Error::Invalid`] names every mistake at once.
+/// [`Error`] if the file cannot be read or its settings are invalid; [`Error::Invalid`] lists every
+/// invalid field.
 pub fn load(path: &Path) -> Result<Instance, Error> {
     let text = fs::read_to_string(path)
         .map_err(|error| Error::Unreadable { path: path.to_owned(), error })?;
     parse(&text)
 }
 
-/// Parses and checks settings.
+/// Parses and checks the settings in `text`.
 ///
 /// # Errors
 ///
 /// As [`load`].
 pub fn parse(text: &str) -> Result<Instance, Error> {
     let instance: Instance = serde_json::from_str(text).map_err(Error::Malformed)?;
-    let mistakes = check(&instance);
-    if mistakes.is_empty() { Ok(instance) } else { Err(Error::Invalid(Mistakes(mistakes))) }
+    let invalid_fields = check(&instance);
+    if invalid_fields.is_empty() {
+        Ok(instance)
+    } else {
+        Err(Error::Invalid(InvalidFields(invalid_fields)))
+    }
 }
 
-/// Every mistake in `instance`.
-fn check(instance: &Instance) -> Vec<Mistake> {
-    let mut mistakes = Vec::new();
+/// Returns every invalid field of `instance`.
+fn check(instance: &Instance) -> Vec<InvalidField> {
+    let mut invalid_fields = Vec::new();
     for (field, value) in
         [("fleet", &instance.fleet), ("name", &instance.name), ("zone", &instance.zone)]
     {
-        check_name(field, value, &mut mistakes);
+        check_name(field, value, &mut invalid_fields);
     }
     for (field, value) in [
         ("callerAddress", &instance.caller_address),
@@ -102,30 +109,31 @@
         ("adminAddress", &instance.admin_address),
         ("platformAddress", &instance.platform_address),
     ] {
-        check_address(field, value, &mut mistakes);
+        check_address(field, value, &mut invalid_fields);
     }
     for (index, seed) in instance.seeds.iter().enumerate() {
-        check_address(&format!("seeds[{index}]"), seed, &mut mistakes);
+        check_address(&format!("seeds[{index}]"), seed, &mut invalid_fields);
     }
     if !instance.ready_address.is_empty() {
-        check_address("readyAddress", &instance.ready_address, &mut mistakes);
+        check_address("readyAddress", &instance.ready_address, &mut invalid_fields);
     }
     for (index, zone) in instance.zones.iter().enumerate() {
-        check_name(&format!("zones[{index}].name"), &zone.name, &mut mistakes);
-        check_name(&format!("zones[{index}].region"), &zone.region, &mut mistakes);
-    }
-    check_cores(instance.cores, &mut mistakes);
-    check_allowance(&instance.allowance.unwrap_or_default(), &mut mistakes);
-    check_strategy(&instance.strategy.unwrap_or_default(), &mut mistakes);
-    check_timing(&instance.timing.unwrap_or_default(), &mut mistakes);
-    mistakes
+        check_name(&format!("zones[{index}].name"), &zone.name, &mut invalid_fields);
+        check_name(&format!("zones[{index}].region"), &zone.region, &mut invalid_fields);
+    }
+    check_cores(instance.cores, &mut invalid_fields);
+    check_allowance(&instance.allowance.unwrap_or_default(), &mut invalid_fields);
+    check_strategy(&instance.strategy.unwrap_or_default(), &mut invalid_fields);
+    check_timing(&instance.timing.unwrap_or_default(), &mut invalid_fields);
+    invalid_fields
 }
 
-/// Names are not empty, bounded and printable.
-fn check_name(field: &str, value: &str, mistakes: &mut Vec<Mistake>) {
+/// Checks that a name is not empty, within the length limit, and without blanks or control
+/// characters.
+fn check_name(field: &str, value: &str, invalid_fields: &mut Vec<InvalidField>) {
     let printable = value.chars().all(|c| !c.is_control() && !c.is_whitespace());
     if value.is_empty() || value.len() > bounds::NAME_BYTES || !printable {
-        mistakes.push(Mistake {
+        invalid_fields.push(InvalidField {
             field: field.to_owned(),
             value: value.to_owned(),
             allowed: format!("1 to {} bytes without blanks", bounds::NAME_BYTES),
@@ -133,10 +141,10 @@
     }
 }
 
-/// Addresses are an IP number and a port.
-fn check_address(field: &str, value: &str, mistakes: &mut Vec<Mistake>) {
+/// Checks that an address consists of an IP address and a port.
+fn check_address(field: &str, value: &str, invalid_fields: &mut Vec<InvalidField>) {
     if value.parse::<SocketAddr>().is_err() {
-        mistakes.push(Mistake {
+        invalid_fields.push(InvalidField {
             field: field.to_owned(),
             value: value.to_owned(),
             allowed: "an IP number and a port, as in 127.0.0.1:8080".to_owned(),
@@ -144,48 +152,58 @@
     }
 }
 
-/// Cores are 0 for the default or within their range.
-fn check_cores(cores: f64, mistakes: &mut Vec<Mistake>) {
-    if cores != 0.0 && !CORES.contains(&cores) {
-        mistakes.push(Mistake {
+/// Checks that the number of cores is in its range, or 0 for the default.
+fn check_cores(cores: f64, invalid_fields: &mut Vec<InvalidField>) {
+    if cores != 0.0 && !CORES_RANGE.contains(&cores) {
+        invalid_fields.push(InvalidField {
             field: "cores".to_owned(),
             value: cores.to_string(),
-            allowed: format!("{} to {}, or 0 for the default", CORES.start(), CORES.end()),
+            allowed: format!(
+                "{} to {}, or 0 for the default",
+                CORES_RANGE.start(),
+                CORES_RANGE.end()
+            ),
         });
     }
 }
 
-/// The share of extra calls is one.
-fn check_allowance(allowance: &Allowance, mistakes: &mut Vec<Mistake>) {
+/// Checks the limits on extra calls: the ratio of extra calls, the overshoot in warm-up and the
+/// counting window.
+fn check_allowance(allowance: &Allowance, invalid_fields: &mut Vec<InvalidField>) {
     if !(0.0..=1.0).contains(&allowance.extra_ratio) {
-        mistakes.push(Mistake {
+        invalid_fields.push(InvalidField {
             field: "allowance.extraRatio".to_owned(),
             value: allowance.extra_ratio.to_string(),
             allowed: "0 to 1".to_owned(),
         });
     }
     let overshoot = allowance.warmup_overshoot;
-    if overshoot != 0.0 && !OVERSHOOT.contains(&overshoot) {
-        mistakes.push(Mistake {
+    if overshoot != 0.0 && !WARMUP_OVERSHOOT_RANGE.contains(&overshoot) {
+        invalid_fields.push(InvalidField {
             field: "allowance.warmupOvershoot".to_owned(),
             value: overshoot.to_string(),
-            allowed: format!("{} to {}, or 0 for 1", OVERSHOOT.start(), OVERSHOOT.end()),
+            allowed: format!(
+                "{} to {}, or 0 for 1",
+                WARMUP_OVERSHOOT_RANGE.start(),
+                WARMUP_OVERSHOOT_RANGE.end()
+            ),
         });
     }
-    if allowance.extra_window_s > LONGEST_WINDOW_S {
-        mistakes.push(Mistake {
+    if allowance.extra_window_s > MAX_EXTRA_WINDOW_S {
+        invalid_fields.push(InvalidField {
             field: "allowance.extraWindowS".to_owned(),
             value: allowance.extra_window_s.to_string(),
-            allowed: format!("0 to {LONGEST_WINDOW_S}"),
+            allowed: format!("0 to {MAX_EXTRA_WINDOW_S}"),
         });
     }
 }
 
-/// Parts are collected for instances that ask servers themselves; an owner asks its own already.
-fn check_strategy(strategy: &Strategy, mistakes: &mut Vec<Mistake>) {
-    let near = strategy.gathering() == Gathering::Near;
-    if near && strategy.placement() != Placement::Direct {
-        mistakes.push(Mistake {
+/// Checks that partial aggregation is on only with direct placement: an owner instance already
+/// calls the servers of its service itself and has nothing to collect from other instances.
+fn check_strategy(strategy: &Strategy, invalid_fields: &mut Vec<InvalidField>) {
+    let partial_aggregation = strategy.gathering() == Gathering::Near;
+    if partial_aggregation && strategy.placement() != Placement::Direct {
+        invalid_fields.push(InvalidField {
             field: "strategy.gathering".to_owned(),
             value: Gathering::Near.as_str_name().to_owned(),
             allowed: format!(
@@ -197,32 +215,37 @@
     }
 }
 
-/// The bound of a stop is 0 for none or long enough to answer what is open.
-fn check_grace(grace_s: f64, mistakes: &mut Vec<Mistake>) {
-    if grace_s != 0.0 && !GRACE_S.contains(&grace_s) {
-        mistakes.push(Mistake {
+/// Checks that the time limit of a graceful shutdown is 0 for none, or long enough to answer open
+/// requests.
+fn check_grace(grace_s: f64, invalid_fields: &mut Vec<InvalidField>) {
+    if grace_s != 0.0 && !GRACE_RANGE_S.contains(&grace_s) {
+        invalid_fields.push(InvalidField {
             field: "timing.graceS".to_owned(),
             value: grace_s.to_string(),
-            allowed: format!("{} to {} s, or 0 for none", GRACE_S.start(), GRACE_S.end()),
+            allowed: format!(
+                "{} to {} s, or 0 for none",
+                GRACE_RANGE_S.start(),
+                GRACE_RANGE_S.end()
+            ),
         });
     }
 }
 
-/// Times are 0 for the default or within their range.
-fn check_timing(timing: &Timing, mistakes: &mut Vec<Mistake>) {
-    check_grace(timing.grace_s, mistakes);
-    let range = |field, value, least, most| Range { field, value, least, most };
-    for Range { field, value, least, most } in [
-        range("timing.probeMs", timing.probe_ms, 50, 10_000),
-        range("timing.suspectMs", timing.suspect_ms, 100, 60_000),
-        range("timing.deadMs", timing.dead_ms, 100, 60_000),
-        range("timing.digestMs", timing.digest_ms, 50, 60_000),
-        range("timing.pauseMs", timing.pause_ms, 200, 60_000),
-        range("timing.drainMs", timing.drain_ms, 100, 600_000),
-        range("timing.contactMs", timing.contact_ms, 800, 60_000),
+/// Checks that each time is in its range, or 0 for the default.
+fn check_timing(timing: &Timing, invalid_fields: &mut Vec<InvalidField>) {
+    check_grace(timing.grace_s, invalid_fields);
+    let setting = |field, value, least, most| TimeSetting { field, value, least, most };
+    for TimeSetting { field, value, least, most } in [
+        setting("timing.probeMs", timing.probe_ms, 50, 10_000),
+        setting("timing.suspectMs", timing.suspect_ms, 100, 60_000),
+        setting("timing.deadMs", timing.dead_ms, 100, 60_000),
+        setting("timing.digestMs", timing.digest_ms, 50, 60_000),
+        setting("timing.pauseMs", timing.pause_ms, 200, 60_000),
+        setting("timing.drainMs", timing.drain_ms, 100, 600_000),
+        setting("timing.contactMs", timing.contact_ms, 800, 60_000),
     ] {
         if value != 0 && !(least..=most).contains(&value) {
-            mistakes.push(Mistake {
+            invalid_fields.push(InvalidField {
                 field: field.to_owned(),
                 value: value.to_string(),
                 allowed: format!("{least} to {most} ms, or 0 for the default"),
