--- a/tests/integration/fleet/call.rs
+++ b/tests/integration/fleet/call.rs
@@ -1,4 +1,4 @@
-//! Callers' requests, what they get, and what must be true of it.
+//! Requests of callers, their answers, and checks of these answers.
 
 use std::collections::BTreeSet;
 use std::thread::{self, JoinHandle};
@@ -9,30 +9,30 @@
 
 use super::http;
 
-/// Milliseconds that a caller waits where a test is not about deadlines.
+/// Deadline of requests in tests that are not about deadlines, in milliseconds.
 const DEADLINE_MS: u32 = 10_000;
 
-/// The operations of a user.
+/// Names of the index and the operations of one user's catalogue.
 #[derive(Clone, Copy)]
 pub(crate) struct Operations {
-    /// The index.
+    /// Name of the index.
     pub(crate) index: &'static str,
-    /// A repeatable operation over all shards.
+    /// Name of a repeatable operation over all shards.
     pub(crate) sweep: &'static str,
-    /// An unrepeatable operation.
+    /// Name of an unrepeatable operation.
     pub(crate) booking: &'static str,
 }
 
-/// Of Porto.
+/// Operations of the user Porto.
 pub(crate) const PORTO: Operations =
     Operations { index: "gate-finder", sweep: "dock-availability", booking: "dock-booking" };
 
-/// Of Bagmati; its sweeps use the whole deadline to be complete.
+/// Operations of the user Bagmati. Its sweeps use the whole deadline to be complete.
 pub(crate) const BAGMATI: Operations =
     Operations { index: "counter-desk", sweep: "eligibility", booking: "payout-lookup" };
 
 impl Operations {
-    /// A sweep over all shards.
+    /// Creates a request for a sweep over all shards.
     pub(crate) fn sweep(self, key: &str) -> Request {
         Request {
             key: key.to_owned(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A booking at one shard.
+    /// Creates a request for a booking at one shard.
     pub(crate) fn booking(self, key: &str, shard: &str) -> Request {
         Request {
             operation: self.booking.to_owned(),
@@ -56,8 +56,8 @@
     }
 }
 
-/// A request for an operation of Bagmati's report desk, an index of one shard.
-pub(crate) fn report(operation: &str, key: &str) -> Request {
+/// Creates a request for an operation of Bagmati's report desk, an index of one shard.
+pub(crate) fn report_request(operation: &str, key: &str) -> Request {
     Request {
         index: "report-desk".to_owned(),
         operation: operation.to_owned(),
@@ -65,36 +65,36 @@
     }
 }
 
-/// One request and what came of it.
+/// A request and its result.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) request: Request,
-    /// HTTP status and answer; the error of a connection that gave none.
+    /// HTTP status and answer, or the error of a connection that gave no answer.
     pub(crate) outcome: Result<(u16, Answer), String>,
 }
 
-/// Sends a request and waits for its answer.
-pub(crate) fn ask(door: &str, request: Request) -> Exchange {
-    let outcome = match http::post(door, "/query", &request) {
+/// Sends a request to the caller address of an instance and waits for the answer.
+pub(crate) fn ask(caller_address: &str, request: Request) -> Exchange {
+    let outcome = match http::post(caller_address, "/query", &request) {
         Ok(response) => Ok((response.status, response.json())),
         Err(error) => Err(error.to_string()),
     };
     Exchange { request, outcome }
 }
 
-/// Sends a request from a thread of its own.
-pub(crate) fn send(door: String, request: Request) -> JoinHandle<Exchange> {
-    thread::spawn(move || ask(&door, request))
+/// Sends a request from a separate thread.
+pub(crate) fn send(caller_address: String, request: Request) -> JoinHandle<Exchange> {
+    thread::spawn(move || ask(&caller_address, request))
 }
 
-/// Waits for the answers to requests that were sent.
-pub(crate) fn received(sent: Vec<JoinHandle<Exchange>>) -> Vec<Exchange> {
+/// Waits for the answers to requests that were sent from separate threads.
+pub(crate) fn join_all(sent: Vec<JoinHandle<Exchange>>) -> Vec<Exchange> {
     let joined = sent.into_iter().map(JoinHandle::join);
     joined.map(|exchange| exchange.expect("the caller is answered")).collect()
 }
 
 impl Exchange {
-    /// The answer; a request without any fails the test.
+    /// Returns the answer; panics if the request got no answer.
     pub(crate) fn answer(&self) -> &Answer {
         match &self.outcome {
             Ok((_, answer)) => answer,
@@ -102,20 +102,21 @@
         }
     }
 
-    /// HTTP status of the answer.
+    /// Returns the HTTP status of the answer.
     pub(crate) fn status(&self) -> u16 {
         self.answer();
         self.outcome.as_ref().map_or(0, |(status, _)| *status)
     }
 
-    /// The answer is to this request, of one version, and its lists are true to its parts.
-    pub(crate) fn check_own(&self) {
+    /// Checks that the answer belongs to this request, that all of its parts are of one version,
+    /// and that its list of covered shards matches its parts.
+    pub(crate) fn check_belongs_to_request(&self) {
         let (answer, request) = (self.answer(), &self.request);
         assert_eq!(answer.key, request.key, "another request's answer");
         let covered = answer.parts.iter().map(|part| &part.shard);
         assert!(
             answer.covered.iter().eq(covered),
-            "coverage is not what the parts are of: {answer:?}"
+            "covered shards differ from the shards of the parts: {answer:?}"
         );
         for part in &answer.parts {
             let (key, payload) = (&request.key, &request.payload);
@@ -124,24 +125,31 @@
         }
     }
 
-    /// Covered and missing shards together are exactly the asked ones of the version's map.
-    pub(crate) fn check_map(&self, index: &Index) {
+    /// Checks that the covered and the missing shards together are exactly the requested shards of
+    /// the index version.
+    pub(crate) fn check_accounts_for_shards(&self, index: &Index) {
         let answer = self.answer();
         assert_eq!(answer.version, index.version);
-        let asked: BTreeSet<&str> = match self.request.shards.as_slice() {
+        let requested: BTreeSet<&str> = match self.request.shards.as_slice() {
             [] => index.shards.iter().map(|shard| shard.name.as_str()).collect(),
             some => some.iter().map(String::as_str).collect(),
         };
         let missing = answer.missing.iter().map(|missing| missing.shard.as_str());
-        let stated: Vec<&str> = answer.covered.iter().map(String::as_str).chain(missing).collect();
-        assert_eq!(stated.len(), asked.len(), "a shard stands twice or not at all: {answer:?}");
-        assert_eq!(stated.into_iter().collect::<BTreeSet<_>>(), asked);
+        let reported: Vec<&str> =
+            answer.covered.iter().map(String::as_str).chain(missing).collect();
+        assert_eq!(
+            reported.len(),
+            requested.len(),
+            "a shard is reported twice or not at all: {answer:?}"
+        );
+        assert_eq!(reported.into_iter().collect::<BTreeSet<_>>(), requested);
     }
 
-    /// The answer is its own and covers every asked shard of the version's map.
+    /// Checks that the answer belongs to this request and covers every requested shard of the index
+    /// version.
     pub(crate) fn check_complete(&self, index: &Index) {
-        self.check_own();
-        self.check_map(index);
+        self.check_belongs_to_request();
+        self.check_accounts_for_shards(index);
         assert!(self.answer().missing.is_empty(), "not complete: {self:?}");
         assert_eq!(self.status(), 200);
     }
--- a/tests/integration/fleet/turn.rs
+++ b/tests/integration/fleet/turn.rs
@@ -1,29 +1,29 @@
-//! Keeps the number of fleets that run at once low.
+//! Limits the number of fleets that run at the same time.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets at once.
-const MOST: usize = 2;
+/// Largest number of fleets that run at the same time.
+const MAX_FLEETS: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static PERMIT_RETURNED: Condvar = Condvar::new();
 
-/// The right to run a fleet until it is dropped.
-pub(crate) struct Turn(());
+/// Permit to run a fleet; returned when dropped.
+pub(crate) struct FleetPermit(());
 
-impl Turn {
-    /// Waits for a turn.
-    pub(crate) fn take() -> Self {
+impl FleetPermit {
+    /// Waits until another fleet may run and returns its permit.
+    pub(crate) fn acquire() -> Self {
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let running = ENDED.wait_while(running, |running| *running >= MOST);
+        let running = PERMIT_RETURNED.wait_while(running, |running| *running >= MAX_FLEETS);
         *running.unwrap_or_else(PoisonError::into_inner) += 1;
         Self(())
     }
 }
 
-impl Drop for Turn {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        PERMIT_RETURNED.notify_one();
     }
 }
--- a/tests/integration/fleet/watch.rs
+++ b/tests/integration/fleet/watch.rs
@@ -1,4 +1,5 @@
-//! Looks at the instances' status all the time, so that nothing is seen to go back in between.
+//! Polls the status of the instances all the time, so that a value that goes back between two steps
+//! of a test is detected.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,53 +11,55 @@
 
 use super::{Fleet, http};
 
-/// Between two looks at an instance.
-const PERIOD: Duration = Duration::from_millis(25);
+/// Interval between two status requests to an instance.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Watches all instances of a fleet.
-pub(crate) struct Watch {
+/// Polls the status of all instances of a fleet.
+pub(crate) struct StatusMonitor {
     stop: Arc<AtomicBool>,
-    watchers: Vec<JoinHandle<Vec<Instance>>>,
+    pollers: Vec<JoinHandle<Vec<Instance>>>,
 }
 
-impl Watch {
-    /// Starts to look.
+impl StatusMonitor {
+    /// Starts to poll.
     pub(crate) fn start(fleet: &Fleet) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let addresses = fleet.run.instances.iter().map(|member| &member.admin_address);
-        let watchers = addresses.cloned().map(|address| {
+        let pollers = addresses.cloned().map(|address| {
             let stop = Arc::clone(&stop);
-            thread::spawn(move || look(&address, &stop))
+            thread::spawn(move || poll_status(&address, &stop))
         });
-        let watchers = watchers.collect();
-        Self { stop, watchers }
+        let pollers = pollers.collect();
+        Self { stop, pollers }
     }
 
-    /// Stops; checks that nothing went back; gives what was seen of each instance in order of time.
+    /// Stops polling, checks that no revision went back, and returns the statuses of each instance
+    /// in order of time.
     pub(crate) fn finish(self) -> Vec<Vec<Instance>> {
         self.stop.store(true, Ordering::Relaxed);
-        let seen = self.watchers.into_iter().map(|watcher| {
-            let seen = watcher.join().expect("the watcher goes on");
-            check_never_back(&seen);
+        let seen = self.pollers.into_iter().map(|poller| {
+            let seen = poller.join().expect("the polling thread does not panic");
+            check_revisions_never_decrease(&seen);
             seen
         });
         seen.collect()
     }
 }
 
-fn look(address: &str, stop: &AtomicBool) -> Vec<Instance> {
+fn poll_status(address: &str, stop: &AtomicBool) -> Vec<Instance> {
     let mut seen = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         if let Ok(response) = http::get(address, "/status") {
             seen.push(response.json());
         }
-        thread::sleep(PERIOD);
+        thread::sleep(POLL_INTERVAL);
     }
     seen
 }
 
-/// No instance's revision, nor that of any entry, went back while the process lived.
-fn check_never_back(seen: &[Instance]) {
+/// Checks that neither the revision of an instance nor that of any catalogue entry went back during
+/// the life of its process.
+fn check_revisions_never_decrease(seen: &[Instance]) {
     for pair in seen.windows(2) {
         let (before, after) = (&pair[0], &pair[1]);
         if before.incarnation != after.incarnation {
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the processes and of what joins them.
+//! Integration tests of the processes and their interfaces to each other.
 
 mod catalogue;
 mod crash;
