--- a/src/options.rs
+++ b/src/options.rs
@@ -57,8 +57,8 @@
     pub queueing: bool,
     /// Source of the number of instances: published records or observed members.
     pub listing: Listing,
-    /// Whether partial results of sweeps are aggregated by an instance in the zone of their
-    /// servers.
+    /// Whether the parts of a sweep that have no server in the zone of the entry instance are
+    /// collected by an instance in a zone that has such servers (partial aggregation).
     pub partial_aggregation: bool,
 }
 
