--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// The error of the first instance that does not answer, as in [`status`].
+/// The error of the first instance that does not answer, as in [`status()`].
 pub fn owners(service: Option<&str>, instances: &[String]) -> Result<(), Error> {
     query_each(instances, "status", |instance, answer| print::owners(instance, service, answer))
 }
@@ -72,7 +72,7 @@
 ///
 /// # Errors
 ///
-/// The error of the first instance that does not answer, as in [`status`].
+/// The error of the first instance that does not answer, as in [`status()`].
 pub fn explain(key: &str, instances: &[String]) -> Result<(), Error> {
     query_each(instances, &format!("explain?key={key}"), print::explanation)
 }
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// The error of the first instance that does not answer, as in [`status`].
+/// The error of the first instance that does not answer, as in [`status()`].
 pub fn quarantine(release: Option<Fingerprint>, instances: &[String]) -> Result<(), Error> {
     if let (Some(request), Some(instance)) = (release, instances.first()) {
         actix_rt::System::new().block_on(async {
--- a/src/options.rs
+++ b/src/options.rs
@@ -1,6 +1,6 @@
 //! Options of the daemon, from the command-line arguments and the settings file.
 //!
-//! [`arguments`] parses the command line, [`file`] reads and checks the settings file, and
+//! [`arguments`] parses the command line, [`mod@file`] reads and checks the settings file, and
 //! [`Options`] combines both with the defaults. The rest of the program uses only [`Options`].
 
 pub mod arguments;
