--- a/src/entry.rs
+++ b/src/entry.rs
@@ -40,7 +40,7 @@
 
 use crate::clock::{self, Clock};
 use crate::driver::{self, Handle, Inbox};
-use crate::link::{CutLinks, Identity, Inbound, Outbound};
+use crate::link::{Cut, Identity, Inbound, Outbound};
 use crate::log::{self, RequestLog};
 use crate::metrics::Metrics;
 use crate::options::{Options, arguments};
@@ -93,7 +93,7 @@
     /// The link over which this instance sends frames to its peers.
     pub outbound: Outbound,
     /// Addresses of peers whose frames a failure test drops.
-    pub cut: CutLinks,
+    pub cut: Cut,
     /// Whether the load balancer should send requests to this instance.
     pub ready: Readiness,
     /// Protocols that this deployment uses with callers, servers and the platform.
@@ -220,7 +220,7 @@
     let (gather, gather_inbox) = driver::channel();
     let (leaf, leaf_inbox) = driver::channel();
     let metrics = Metrics::new().map_err(|error| Error::Metrics(error.to_string()))?;
-    let cut = CutLinks::default();
+    let cut = Cut::default();
     let clock = Clock::new();
     let incarnation = clock::incarnation();
     let peer_names = peer::PeerNames::default();
--- a/src/entry/native.rs
+++ b/src/entry/native.rs
@@ -12,7 +12,7 @@
 use super::door::Door;
 
 pub use callers::decode;
-pub use lanes::{failure_outcome, response_outcome};
+pub use lanes::{broken, outcome};
 
 /// The built-in dialect.
 #[derive(Clone, Copy, Debug, Default)]
--- a/src/entry/native/lanes.rs
+++ b/src/entry/native/lanes.rs
@@ -183,7 +183,7 @@
     let end = tokio::time::Instant::now() + left;
     let mut response = match timeout_at(end, connection.client.post(url).send_json(request)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(error)) => return failure_outcome(&error),
+        Ok(Err(error)) => return broken(&error),
         Err(_) => return Outcome::Lost,
     };
     let status = response.status();
@@ -191,7 +191,7 @@
         Ok(Ok(body)) => body,
         Ok(Err(_)) | Err(_) => return Outcome::Lost,
     };
-    response_outcome(status, &body, &request.id)
+    outcome(status, &body, &request.id)
 }
 
 /// Returns the outcome of an exchange that failed before a complete response.
@@ -200,7 +200,7 @@
 /// connect, too (`Disconnected`). If that counted as unsent, a booking would be sent again to
 /// another replica and executed twice. Only errors from before a connection exists prove that
 /// nothing was written.
-pub fn failure_outcome(error: &SendRequestError) -> Outcome {
+pub fn broken(error: &SendRequestError) -> Outcome {
     let SendRequestError::Connect(error) = error else {
         return Outcome::Lost;
     };
@@ -218,7 +218,7 @@
 ///
 /// A refusal proves that the request was not executed only if it names the request. Any other error
 /// may come from an intermediary that doesn't know whether the request was started.
-pub fn response_outcome(status: StatusCode, body: &[u8], id: &str) -> Outcome {
+pub fn outcome(status: StatusCode, body: &[u8], id: &str) -> Outcome {
     match status {
         StatusCode::OK => decoded(body).map_or(Outcome::Error, Outcome::Answer),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::CONFLICT => decoded(body)
--- a/src/link.rs
+++ b/src/link.rs
@@ -32,9 +32,9 @@
 
 /// Peer addresses whose frames are dropped in both directions, for failure tests.
 #[derive(Clone, Debug, Default)]
-pub struct CutLinks(Arc<RwLock<Set<String>>>);
+pub struct Cut(Arc<RwLock<Set<String>>>);
 
-impl CutLinks {
+impl Cut {
     /// Replaces the set of addresses whose links are cut.
     pub fn replace(&self, addresses: impl IntoIterator<Item = String>) {
         if let Ok(mut cut) = self.0.write() {
--- a/src/link/inbound.rs
+++ b/src/link/inbound.rs
@@ -11,7 +11,7 @@
 use prost::Message;
 use slog::{Logger, warn};
 
-use super::CutLinks;
+use super::Cut;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
@@ -27,7 +27,7 @@
     /// Metrics in which rejected frames are counted.
     pub metrics: Metrics,
     /// Addresses of peers whose frames a failure test drops.
-    pub cut: CutLinks,
+    pub cut: Cut,
     /// Logger of this instance.
     pub log: Logger,
 }
--- a/src/link/outbound.rs
+++ b/src/link/outbound.rs
@@ -13,7 +13,7 @@
 use nng::{PipeEvent, Protocol, Socket};
 use prost::Message;
 
-use super::{CutLinks, Identity};
+use super::{Cut, Identity};
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 
@@ -57,7 +57,7 @@
     generation: Arc<AtomicU64>,
     clock: Clock,
     metrics: Metrics,
-    cut: CutLinks,
+    cut: Cut,
     on_disconnect: OnDisconnect,
     /// Invariant: holds at most one connection per address.
     connections: Arc<Mutex<Map<Arc<str>, Connection>>>,
@@ -174,7 +174,7 @@
         identity: Identity,
         clock: Clock,
         metrics: Metrics,
-        cut: CutLinks,
+        cut: Cut,
         on_disconnect: OnDisconnect,
     ) -> Self {
         let generation = Arc::new(AtomicU64::new(identity.incarnation));
@@ -226,7 +226,7 @@
     }
 
     /// Records that a frame from the peer at `address` was received.
-    pub fn record_received(&self, address: &str) {
+    pub fn heard(&self, address: &str) {
         let mut connections = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(connection) = connections.get_mut(address) {
             connection.unanswered_since = None;
--- a/tests/integration/decoders.rs
+++ b/tests/integration/decoders.rs
@@ -1,4 +1,4 @@
-//! Bytes from outside never crash a process, and a refused request has not been executed.
+//! Bytes from outside never end a process, and what is refused has not run.
 
 use std::sync::Arc;
 
@@ -17,12 +17,12 @@
 use sycamoreladder::link::inbound;
 use sycamoreladder::options::file;
 
-const CASES: usize = 20_000;
+const RUNS: usize = 20_000;
 const FLEET: &str = "porto";
 
 #[test]
 fn any_text_is_settings_or_a_clear_error() {
-    ladder_property::check(CASES).for_each(|bytes: &[u8]| {
+    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
         if let Err(error) = file::parse(&String::from_utf8_lossy(bytes)) {
             assert!(error.to_string().len() > 10);
         }
@@ -31,7 +31,7 @@
 
 #[test]
 fn any_body_is_a_request_or_is_refused_as_not_run() {
-    ladder_property::check(CASES).for_each(|bytes: &[u8]| {
+    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
         if let Err(answer) = native::decode(Ok(Bytes::copy_from_slice(bytes))) {
             assert_eq!(answer.verdict(), Verdict::NotRun);
             assert_eq!(answer.reason(), Reason::Malformed);
@@ -41,25 +41,25 @@
 }
 
 #[test]
-fn any_response_of_a_target_has_an_outcome_other_than_unsent() {
-    ladder_property::check(CASES).with_type::<(u16, Vec<u8>)>().for_each(|(code, body)| {
+fn any_response_of_a_target_has_an_outcome() {
+    ladder_property::check(RUNS).with_type::<(u16, Vec<u8>)>().for_each(|(code, body)| {
         if let Ok(status) = awc::http::StatusCode::from_u16(*code) {
-            let outcome = native::response_outcome(status, body, "a1");
+            let outcome = native::outcome(status, body, "a1");
             assert_ne!(outcome, leaf::event::Outcome::Unsent, "something was written");
         }
     });
 }
 
 #[test]
-fn any_page_of_records_is_checked_without_a_crash() {
-    ladder_property::check(CASES).for_each(|bytes: &[u8]| {
+fn any_page_is_checked_record_by_record() {
+    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
         for record in Page::decode(bytes).unwrap_or_default().records {
             let _ = check::record(&record);
         }
     });
 }
 
-/// Returns a frame of this fleet that contains every kind of content that a peer may send.
+/// A frame of this fleet with everything in it that a peer may say.
 fn frame() -> Frame {
     use ladder_schema::call::Part;
     use ladder_schema::wire::{
@@ -104,29 +104,29 @@
     }
 }
 
-/// Guards against an instance that crashes on data from a faulty or foreign peer.
+/// An instance dies of what a faulty or foreign peer sends it.
 ///
-/// A frame is corrupted in transit, or comes from another program, and the instance decodes and
-/// handles it. All three machines must handle without a crash whatever can still be decoded.
+/// A frame is damaged on its way, or comes from another program; the instance decodes it and acts
+/// on it. Whatever still decodes must be taken by all three machines without harm.
 #[test]
-fn damaged_frames_are_refused_or_handled_without_a_crash() {
-    let valid_bytes = frame().encode_to_vec();
-    let damage = ladder_property::check(4 * CASES).with_type::<Vec<(u16, u8)>>();
-    damage.for_each(|changes| {
-        let mut bytes = valid_bytes.clone();
-        for (position, value) in changes {
-            let position = usize::from(*position) % bytes.len();
-            bytes[position] = *value;
+fn damaged_frames_are_refused_or_harmless() {
+    let sound = frame().encode_to_vec();
+    let damage = ladder_property::check(4 * RUNS).with_type::<Vec<(u16, u8)>>();
+    damage.for_each(|places| {
+        let mut bytes = sound.clone();
+        for (place, value) in places {
+            let place = usize::from(*place) % bytes.len();
+            bytes[place] = *value;
         }
         match inbound::decode(&bytes, FLEET) {
-            Ok(frame) => handle_by_all_machines(frame),
+            Ok(frame) => take(frame),
             Err(reason) => assert_ne!(reason, Reason::Unspecified),
         }
     });
 }
 
-/// Passes the contents of a frame to newly created machines.
-fn handle_by_all_machines(frame: Frame) {
+/// Hands a frame's parts to fresh machines.
+fn take(frame: Frame) {
     let now = Instant::from_millis(10);
     let from = Peer { name: frame.from.as_str().into(), address: frame.address.as_str().into() };
     let mut leaf = leaf::Machine::new(leaf::Settings::builder("porto-1", 1).build());
@@ -143,18 +143,18 @@
     control.handle(now, control::Event::Frame(Box::new(frame)), &mut Vec::new());
 }
 
-/// A change to a valid frame and the expected reason of its rejection.
-struct RejectedFrame(fn(&mut Frame), Reason);
+/// A change of a frame and the reason of its refusal.
+struct Foreign(fn(&mut Frame), Reason);
 
 #[test]
-fn foreign_frames_are_refused_with_their_reason() {
+fn frames_of_others_are_refused_with_their_reason() {
     let cases = [
-        RejectedFrame(|frame| frame.fleet = "bagmati".into(), Reason::ForeignFleet),
-        RejectedFrame(|frame| frame.protocol += 1, Reason::WrongProtocol),
-        RejectedFrame(|frame| frame.from.clear(), Reason::PeerMalformed),
-        RejectedFrame(|frame| frame.zone = "z".repeat(bounds::FRAME_BYTES), Reason::TooLarge),
+        Foreign(|frame| frame.fleet = "bagmati".into(), Reason::ForeignFleet),
+        Foreign(|frame| frame.protocol += 1, Reason::WrongProtocol),
+        Foreign(|frame| frame.from.clear(), Reason::PeerMalformed),
+        Foreign(|frame| frame.zone = "z".repeat(bounds::FRAME_BYTES), Reason::TooLarge),
     ];
-    for RejectedFrame(change, reason) in cases {
+    for Foreign(change, reason) in cases {
         let mut frame = frame();
         change(&mut frame);
         assert_eq!(inbound::decode(&frame.encode_to_vec(), FLEET).err(), Some(reason));
--- a/tests/integration/fleet.rs
+++ b/tests/integration/fleet.rs
@@ -1,7 +1,6 @@
-//! A fleet of real processes for tests: platform, targets and instances.
+//! A whole run of real processes: platform, targets, instances.
 //!
-//! All processes listen on an IP address that only this run uses, and end when the [`Fleet`] is
-//! dropped.
+//! Everything listens on an IP number of the run's own and ends with the [`Fleet`].
 
 pub(crate) mod call;
 pub(crate) mod child;
@@ -32,19 +31,19 @@
 
 use child::Child;
 use rustix::process::Signal;
-use turn::FleetPermit;
+use turn::Turn;
 
 /// Longest wait for any condition.
-const TIMEOUT: Duration = Duration::from_secs(60);
-/// Interval between checks of a condition.
-const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of the next fleet of this test process; each number gives an IP address of its own.
-static NEXT_RUN: AtomicU8 = AtomicU8::new(1);
+const PATIENCE: Duration = Duration::from_secs(60);
+/// Between looks at a condition.
+const LOOK: Duration = Duration::from_millis(20);
+/// Numbers of the runs of this process, for IP numbers of their own.
+static RUNS: AtomicU8 = AtomicU8::new(1);
 
-/// A platform address on which no process listens.
-const UNREACHABLE_PLATFORM: &str = "127.0.0.1:1";
+/// A platform address where nothing listens.
+const NO_PLATFORM: &str = "127.0.0.1:1";
 
-/// Short intervals and timeouts, so that a failure is detected within a second.
+/// Short times, so that a failure is noticed within a second.
 pub(crate) const TIMING: Timing = Timing {
     probe_ms: 50,
     suspect_ms: 400,
@@ -56,39 +55,36 @@
     contact_ms: 2667,
 };
 
-/// A running fleet of real processes.
+/// A run of real processes.
 pub(crate) struct Fleet {
-    /// Addresses and names of all processes.
+    /// Addresses and names.
     pub(crate) run: Run,
-    /// Records that the platform published at the start.
+    /// What the platform published at the start.
     pub(crate) published: Vec<Record>,
     folder: PathBuf,
     platform: Child,
     targets: Vec<Child>,
-    /// Invariant: has one element for each of `run.instances`; `None` for an instance that was
-    /// killed or has ended.
+    /// Invariant: as many as `run.instances`; none for an instance that was killed or has ended.
     instances: Vec<Option<Child>>,
-    _permit: FleetPermit,
+    _turn: Turn,
 }
 
-/// Returns the layout that most tests start from: about a tenth of the services of the users'
-/// current fleets.
+/// The layout that most tests start from: a tenth or so of the services of today.
 pub(crate) fn layout(user: User, instances: u32) -> Layout {
     Layout::new(user).instances(instances).processes(2).scale(0.2).service_us(4000).timing(TIMING)
 }
 
 impl Fleet {
-    /// Starts all processes of `layout` and waits until each instance is ready and all agree on
-    /// members and owners.
+    /// Starts all processes of `layout` and waits until each instance is ready and knows all.
     pub(crate) fn start(layout: Layout) -> Self {
         Self::start_edited(layout, &[], |_| {})
     }
 
-    /// Like [`Fleet::start`], but the instances in `cut_off` never reach the platform, and each
+    /// Like [`Fleet::start`], but the instances `cut_off` never reach the platform, and each
     /// catalogue entry is changed by `edit` first.
     pub(crate) fn start_edited(layout: Layout, cut_off: &[usize], edit: fn(&mut Entry)) -> Self {
-        let permit = FleetPermit::acquire();
-        let number = NEXT_RUN.fetch_add(1, Ordering::Relaxed);
+        let turn = Turn::take();
+        let number = RUNS.fetch_add(1, Ordering::Relaxed);
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let address = Ipv4Addr::new(127, 1 + high % 250, low, number);
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -97,7 +93,7 @@
         let run = run.expect("the run can be laid out");
         for &at in cut_off {
             rewrite(&folder.join(&run.instances[at].file), |settings| {
-                settings.platform_address = UNREACHABLE_PLATFORM.to_owned();
+                settings.platform_address = NO_PLATFORM.to_owned();
             });
         }
         let platform = folder.join(&run.platform_file);
@@ -111,46 +107,46 @@
             published,
             run,
             folder,
-            _permit: permit,
+            _turn: turn,
         };
-        fleet.wait_until_settled();
+        fleet.settle();
         fleet
     }
 
-    /// Waits until all running instances are ready, agree on owners and consider each other alive.
-    pub(crate) fn wait_until_settled(&self) {
+    /// Waits until all running instances are ready, agree on owners and see each other.
+    pub(crate) fn settle(&self) {
         let running = self.running();
-        wait_until("all instances are ready and agree on members and owners", || {
+        until("all instances are ready and agree on members and owners", || {
             let seen: Vec<_> = running.iter().filter_map(|&at| self.status(at)).collect();
             seen.len() == running.len()
-                && seen.iter().all(|status| status.ready && count_alive(status) >= running.len())
+                && seen.iter().all(|status| status.ready && alive(status) >= running.len())
                 && seen.iter().all(|status| owners(status) == owners(&seen[0]))
         });
     }
 
-    /// Returns the numbers of the running instances.
+    /// Numbers of the instances that run.
     pub(crate) fn running(&self) -> Vec<usize> {
         let instances = self.instances.iter().enumerate();
         instances.filter_map(|(at, child)| child.as_ref().map(|_| at)).collect()
     }
 
-    /// Returns the caller addresses of all running instances.
-    pub(crate) fn caller_addresses(&self) -> Vec<String> {
-        self.running().into_iter().map(|at| self.caller_address(at)).collect()
+    /// Callers' addresses of all running instances.
+    pub(crate) fn doors(&self) -> Vec<String> {
+        self.running().into_iter().map(|at| self.door(at)).collect()
     }
 
-    /// Returns the caller addresses of all running instances except `besides`.
-    pub(crate) fn other_caller_addresses(&self, besides: usize) -> Vec<String> {
+    /// Callers' addresses of all running instances but one.
+    pub(crate) fn others(&self, besides: usize) -> Vec<String> {
         let others = self.running().into_iter().filter(|&at| at != besides);
-        others.map(|at| self.caller_address(at)).collect()
+        others.map(|at| self.door(at)).collect()
     }
 
-    /// Returns the caller address of an instance.
-    pub(crate) fn caller_address(&self, at: usize) -> String {
+    /// Callers' address of an instance.
+    pub(crate) fn door(&self, at: usize) -> String {
         self.run.instances[at].caller_address.clone()
     }
 
-    /// Returns the name of an instance.
+    /// Name of an instance.
     pub(crate) fn name(&self, at: usize) -> &str {
         &self.run.instances[at].name
     }
@@ -161,16 +157,16 @@
         child.expect("the instance runs").signal(signal);
     }
 
-    /// Whether the log of a running instance contains `text`.
-    pub(crate) fn has_logged(&self, at: usize, text: &str) -> bool {
-        self.instances[at].as_ref().is_some_and(|child| child.has_logged(text))
+    /// Whether a running instance wrote a line with this in it.
+    pub(crate) fn logged(&self, at: usize, text: &str) -> bool {
+        self.instances[at].as_ref().is_some_and(|child| child.logged(text))
     }
 
-    /// Waits until an instance that was asked to stop has ended; returns its exit code.
-    pub(crate) fn wait_until_ended(&mut self, at: usize) -> Option<i32> {
+    /// Waits until an instance that was told to stop has ended; gives its exit code.
+    pub(crate) fn until_ended(&mut self, at: usize) -> Option<i32> {
         let mut child = self.instances[at].take().expect("the instance runs");
         let mut ended = None;
-        wait_until("the instance ends", || {
+        until("the instance ends", || {
             ended = child.ended();
             ended.is_some()
         });
@@ -182,38 +178,37 @@
         self.instances[at] = None;
     }
 
-    /// Starts an instance again after it was killed or has ended.
+    /// Starts an instance anew.
     pub(crate) fn restart(&mut self, at: usize) {
         assert!(self.instances[at].is_none());
         let settings = self.folder.join(&self.run.instances[at].file);
         self.instances[at] = Some(start("ladder-entry", &settings));
     }
 
-    /// Changes the settings file of an instance.
-    pub(crate) fn edit_settings(&self, at: usize, edit: impl FnOnce(&mut Instance)) {
+    /// Changes the settings with which an instance starts next.
+    pub(crate) fn edit(&self, at: usize, edit: impl FnOnce(&mut Instance)) {
         rewrite(&self.folder.join(&self.run.instances[at].file), edit);
     }
 
-    /// Returns the status of an instance; `None` if it does not answer.
+    /// What an instance holds true; none when it does not answer.
     pub(crate) fn status(&self, at: usize) -> Option<status::Instance> {
         let response = http::get(&self.run.instances[at].admin_address, "/status").ok()?;
         (response.status == 200).then(|| response.json())
     }
 
-    /// Returns the status of a running instance; panics if it does not answer.
-    pub(crate) fn expect_status(&self, at: usize) -> status::Instance {
+    /// What a running instance holds true.
+    pub(crate) fn view(&self, at: usize) -> status::Instance {
         self.status(at).expect("a running instance answers")
     }
 
-    /// Whether an instance reports to the load balancer that it is ready.
+    /// Whether an instance tells the balancer to send callers.
     pub(crate) fn is_ready(&self, at: usize) -> bool {
-        http::get(&self.caller_address(at), "/ready").is_ok_and(|response| response.status == 200)
+        http::get(&self.door(at), "/ready").is_ok_and(|response| response.status == 200)
     }
 
-    /// Returns the number of the instance that owns a service, in the view of the first running
-    /// instance.
+    /// The number of the instance that owns a service, by the view of a living one.
     pub(crate) fn owner(&self, service: &str) -> usize {
-        let status = self.expect_status(self.running()[0]);
+        let status = self.view(self.running()[0]);
         let found = status.services.iter().find(|found| found.name == service);
         let owner = &found.expect("the service is known").owner;
         let instances = self.run.instances.iter();
@@ -221,8 +216,7 @@
         position.unwrap_or_else(|| panic!("{service} has the unknown owner {owner:?}"))
     }
 
-    /// Cuts the links between two groups of instances in both directions; empty groups restore all
-    /// links.
+    /// Cuts the links between two groups of instances in both directions; none mends all.
     pub(crate) fn cut(&self, groups: [&[usize]; 2]) {
         for at in self.running() {
             let across = match groups.map(|group| group.contains(&at)) {
@@ -232,33 +226,31 @@
             };
             let addresses = across.iter().map(|&peer| &self.run.instances[peer].peer_address);
             let cut = status::Cut { addresses: addresses.cloned().collect() };
-            self.post(&self.run.instances[at].admin_address, "/cut", &cut);
+            self.posted(&self.run.instances[at].admin_address, "/cut", &cut);
         }
     }
 
-    /// Waits until no running instance considers `victim` the owner of a service.
-    pub(crate) fn wait_until_replaced(&self, victim: usize) {
+    /// Waits until no running instance holds `victim` for an owner.
+    pub(crate) fn until_replaced(&self, victim: usize) {
         let replaced = |service: &status::Service| {
             !service.owner.is_empty() && service.owner != self.name(victim)
         };
-        wait_until("the services have other owners", || {
-            self.running()
-                .into_iter()
-                .all(|at| self.expect_status(at).services.iter().all(replaced))
+        until("the services have other owners", || {
+            self.running().into_iter().all(|at| self.view(at).services.iter().all(replaced))
         });
     }
 
-    /// Waits until the revision `revision` is in force on every running instance.
-    pub(crate) fn wait_until_in_force(&self, revision: u64) {
+    /// Waits until every running instance has a revision in force.
+    pub(crate) fn until_in_force(&self, revision: u64) {
         for at in self.running() {
-            wait_until(&format!("revision {revision} is in force on {}", self.name(at)), || {
+            until(&format!("revision {revision} is in force on {}", self.name(at)), || {
                 self.status(at).is_some_and(|status| status.revision >= revision)
             });
         }
     }
 
-    fn post<T: serde::Serialize>(&self, address: &str, path: &str, value: &T) -> http::Response {
-        let response = http::post(address, path, value).expect("the process answers");
+    fn posted<T: serde::Serialize>(&self, address: &str, path: &str, value: &T) -> http::Response {
+        let response = http::post(address, path, value).expect("it answers");
         assert_eq!(response.status, 200, "{path}");
         response
     }
@@ -277,8 +269,7 @@
     }
 }
 
-/// Changes the catalogue entries that the platform publishes at its start; returns all of its
-/// records.
+/// Changes the entries that the platform publishes at its start; gives all records.
 fn publish(path: &Path, edit: fn(&mut Entry)) -> Vec<Record> {
     let mut platform: Platform = settings::load(path).expect("the platform's settings");
     for record in &mut platform.records {
@@ -290,35 +281,35 @@
     platform.records
 }
 
-/// Changes the settings file of an instance at `path`.
+/// Changes a settings file of an instance.
 fn rewrite(path: &Path, edit: impl FnOnce(&mut Instance)) {
     let mut settings: Instance = settings::load(path).expect("settings of an instance");
     edit(&mut settings);
     settings::save(path, &settings).expect("settings can be written");
 }
 
-/// Returns the number of members that an instance considers alive, including itself.
-pub(crate) fn count_alive(status: &status::Instance) -> usize {
+/// Members that an instance holds alive, with itself.
+pub(crate) fn alive(status: &status::Instance) -> usize {
     let others = status.members.iter().filter(|member| member.name != status.name);
     others.filter(|member| member.liveness() == Liveness::Alive).count() + 1
 }
 
-/// Returns the owner of each service in the view of one instance.
+/// The owner of each service by one instance's view.
 fn owners(status: &status::Instance) -> Vec<(&str, &str)> {
     let services = status.services.iter();
     services.map(|service| (service.name.as_str(), service.owner.as_str())).collect()
 }
 
-/// Waits until a condition holds; panics after [`TIMEOUT`].
-pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let started_at = Instant::now();
+/// Waits until a condition holds.
+pub(crate) fn until(what: &str, mut holds: impl FnMut() -> bool) {
+    let begun = Instant::now();
     while !holds() {
-        assert!(started_at.elapsed() < TIMEOUT, "not within {TIMEOUT:?}: {what}");
-        thread::sleep(POLL_INTERVAL);
+        assert!(begun.elapsed() < PATIENCE, "not within {PATIENCE:?}: {what}");
+        thread::sleep(LOOK);
     }
 }
 
-/// Starts a binary of the workspace from the folder that contains the daemon's binary.
+/// Starts a binary of the workspace, from the folder of the daemon's.
 fn start(binary: &str, settings: &Path) -> Child {
     let program = Path::new(env!("CARGO_BIN_EXE_ladder-entry")).with_file_name(binary);
     Child::start(&program, settings)
--- a/tests/integration/fleet/call.rs
+++ b/tests/integration/fleet/call.rs
@@ -1,4 +1,4 @@
-//! Requests of callers, their answers, and checks of these answers.
+//! Callers' requests, what they get, and what must be true of it.
 
 use std::collections::BTreeSet;
 use std::thread::{self, JoinHandle};
@@ -9,30 +9,30 @@
 
 use super::http;
 
-/// Deadline of requests in tests that are not about deadlines, in milliseconds.
+/// Milliseconds that a caller waits where a test is not about deadlines.
 const DEADLINE_MS: u32 = 10_000;
 
-/// Names of the index and the operations of one user's catalogue.
+/// The operations of a user.
 #[derive(Clone, Copy)]
 pub(crate) struct Operations {
-    /// Name of the index.
+    /// The index.
     pub(crate) index: &'static str,
-    /// Name of a repeatable operation over all shards.
+    /// A repeatable operation over all shards.
     pub(crate) sweep: &'static str,
-    /// Name of an unrepeatable operation.
+    /// An unrepeatable operation.
     pub(crate) booking: &'static str,
 }
 
-/// Operations of the user Porto.
+/// Of Porto.
 pub(crate) const PORTO: Operations =
     Operations { index: "gate-finder", sweep: "dock-availability", booking: "dock-booking" };
 
-/// Operations of the user Bagmati. Its sweeps use the whole deadline to be complete.
+/// Of Bagmati; its sweeps use the whole deadline to be complete.
 pub(crate) const BAGMATI: Operations =
     Operations { index: "counter-desk", sweep: "eligibility", booking: "payout-lookup" };
 
 impl Operations {
-    /// Creates a request for a sweep over all shards.
+    /// A sweep over all shards.
     pub(crate) fn sweep(self, key: &str) -> Request {
         Request {
             key: key.to_owned(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Creates a request for a booking at one shard.
+    /// A booking at one shard.
     pub(crate) fn booking(self, key: &str, shard: &str) -> Request {
         Request {
             operation: self.booking.to_owned(),
@@ -56,8 +56,8 @@
     }
 }
 
-/// Creates a request for an operation of Bagmati's report desk, an index of one shard.
-pub(crate) fn report_request(operation: &str, key: &str) -> Request {
+/// A request for an operation of Bagmati's report desk, an index of one shard.
+pub(crate) fn report(operation: &str, key: &str) -> Request {
     Request {
         index: "report-desk".to_owned(),
         operation: operation.to_owned(),
@@ -65,36 +65,36 @@
     }
 }
 
-/// A request and its result.
+/// One request and what came of it.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) request: Request,
-    /// HTTP status and answer, or the error of a connection that gave no answer.
+    /// HTTP status and answer; the error of a connection that gave none.
     pub(crate) outcome: Result<(u16, Answer), String>,
 }
 
-/// Sends a request to the caller address of an instance and waits for the answer.
-pub(crate) fn ask(caller_address: &str, request: Request) -> Exchange {
-    let outcome = match http::post(caller_address, "/query", &request) {
+/// Sends a request and waits for its answer.
+pub(crate) fn ask(door: &str, request: Request) -> Exchange {
+    let outcome = match http::post(door, "/query", &request) {
         Ok(response) => Ok((response.status, response.json())),
         Err(error) => Err(error.to_string()),
     };
     Exchange { request, outcome }
 }
 
-/// Sends a request from a separate thread.
-pub(crate) fn send(caller_address: String, request: Request) -> JoinHandle<Exchange> {
-    thread::spawn(move || ask(&caller_address, request))
+/// Sends a request from a thread of its own.
+pub(crate) fn send(door: String, request: Request) -> JoinHandle<Exchange> {
+    thread::spawn(move || ask(&door, request))
 }
 
-/// Waits for the answers to requests that were sent from separate threads.
-pub(crate) fn join_all(sent: Vec<JoinHandle<Exchange>>) -> Vec<Exchange> {
+/// Waits for the answers to requests that were sent.
+pub(crate) fn received(sent: Vec<JoinHandle<Exchange>>) -> Vec<Exchange> {
     let joined = sent.into_iter().map(JoinHandle::join);
     joined.map(|exchange| exchange.expect("the caller is answered")).collect()
 }
 
 impl Exchange {
-    /// Returns the answer; panics if the request got no answer.
+    /// The answer; a request without any fails the test.
     pub(crate) fn answer(&self) -> &Answer {
         match &self.outcome {
             Ok((_, answer)) => answer,
@@ -102,21 +102,20 @@
         }
     }
 
-    /// Returns the HTTP status of the answer.
+    /// HTTP status of the answer.
     pub(crate) fn status(&self) -> u16 {
         self.answer();
         self.outcome.as_ref().map_or(0, |(status, _)| *status)
     }
 
-    /// Checks that the answer belongs to this request, that all of its parts are of one version,
-    /// and that its list of covered shards matches its parts.
-    pub(crate) fn check_belongs_to_request(&self) {
+    /// The answer is to this request, of one version, and its lists are true to its parts.
+    pub(crate) fn check_own(&self) {
         let (answer, request) = (self.answer(), &self.request);
         assert_eq!(answer.key, request.key, "another request's answer");
         let covered = answer.parts.iter().map(|part| &part.shard);
         assert!(
             answer.covered.iter().eq(covered),
-            "covered shards differ from the shards of the parts: {answer:?}"
+            "coverage is not what the parts are of: {answer:?}"
         );
         for part in &answer.parts {
             let (key, payload) = (&request.key, &request.payload);
@@ -125,31 +124,24 @@
         }
     }
 
-    /// Checks that the covered and the missing shards together are exactly the requested shards of
-    /// the index version.
-    pub(crate) fn check_accounts_for_shards(&self, index: &Index) {
+    /// Covered and missing shards together are exactly the asked ones of the version's map.
+    pub(crate) fn check_map(&self, index: &Index) {
         let answer = self.answer();
         assert_eq!(answer.version, index.version);
-        let requested: BTreeSet<&str> = match self.request.shards.as_slice() {
+        let asked: BTreeSet<&str> = match self.request.shards.as_slice() {
             [] => index.shards.iter().map(|shard| shard.name.as_str()).collect(),
             some => some.iter().map(String::as_str).collect(),
         };
         let missing = answer.missing.iter().map(|missing| missing.shard.as_str());
-        let reported: Vec<&str> =
-            answer.covered.iter().map(String::as_str).chain(missing).collect();
-        assert_eq!(
-            reported.len(),
-            requested.len(),
-            "a shard is reported twice or not at all: {answer:?}"
-        );
-        assert_eq!(reported.into_iter().collect::<BTreeSet<_>>(), requested);
+        let stated: Vec<&str> = answer.covered.iter().map(String::as_str).chain(missing).collect();
+        assert_eq!(stated.len(), asked.len(), "a shard stands twice or not at all: {answer:?}");
+        assert_eq!(stated.into_iter().collect::<BTreeSet<_>>(), asked);
     }
 
-    /// Checks that the answer belongs to this request and covers every requested shard of the index
-    /// version.
+    /// The answer is its own and covers every asked shard of the version's map.
     pub(crate) fn check_complete(&self, index: &Index) {
-        self.check_belongs_to_request();
-        self.check_accounts_for_shards(index);
+        self.check_own();
+        self.check_map(index);
         assert!(self.answer().missing.is_empty(), "not complete: {self:?}");
         assert_eq!(self.status(), 200);
     }
--- a/tests/integration/fleet/child.rs
+++ b/tests/integration/fleet/child.rs
@@ -1,4 +1,4 @@
-//! Child processes that a test starts, signals and ends.
+//! Processes that a test starts, signals and ends.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -6,15 +6,15 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// A child process; it is killed when dropped.
+/// One process; it is killed when dropped.
 pub(crate) struct Child {
     process: Process,
     log: PathBuf,
 }
 
 impl Child {
-    /// Starts `program` with its settings file as the only argument. Its output is appended to a
-    /// log file next to the settings file.
+    /// Starts `program` with its settings file as the only argument; its output goes to a file
+    /// beside that.
     pub(crate) fn start(program: &Path, settings: &Path) -> Self {
         assert!(
             program.is_file(),
@@ -33,30 +33,30 @@
         Self { process, log }
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.process.id()).expect("a process id");
         let pid = Pid::from_raw(id).expect("a process id above 0");
-        kill_process(pid, signal).expect("the process exists");
+        kill_process(pid, signal).expect("the process is there");
     }
 
-    /// Kills the process and waits until it has ended.
+    /// Kills it and waits for its end.
     pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Returns the exit status of the process, if it has ended.
+    /// How it ended, if it has.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         self.process.try_wait().expect("the process is a child")
     }
 
-    /// Whether the output of the process contains `text`.
-    pub(crate) fn has_logged(&self, text: &str) -> bool {
+    /// Whether it wrote a line with this in it.
+    pub(crate) fn logged(&self, text: &str) -> bool {
         fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text))
     }
 
-    /// Returns the last 20 lines of the output of the process.
+    /// The end of what it wrote.
     pub(crate) fn tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
--- a/tests/integration/fleet/http.rs
+++ b/tests/integration/fleet/http.rs
@@ -1,4 +1,4 @@
-//! A blocking HTTP client: one request per connection, complete answers only.
+//! A blocking HTTP client: one request for each connection, whole answers only.
 
 use std::io::{self, Error, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,20 +7,20 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Longest wait for a connection, and between two chunks of an answer.
+/// Longest wait for a connection and between two pieces of an answer.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A complete HTTP response.
+/// A whole response.
 #[derive(Debug)]
 pub(crate) struct Response {
-    /// HTTP status of the response.
+    /// HTTP status.
     pub(crate) status: u16,
-    /// Body of the response; its length is that of the `content-length` header.
+    /// Body, of the length that the head names.
     pub(crate) body: Vec<u8>,
 }
 
 impl Response {
-    /// Decodes the body from JSON; panics if it is not valid.
+    /// The body as JSON.
     pub(crate) fn json<T: DeserializeOwned>(&self) -> T {
         serde_json::from_slice(&self.body).unwrap_or_else(|error| {
             let text = String::from_utf8_lossy(&self.body);
@@ -29,25 +29,25 @@
     }
 }
 
-/// Sends a GET request.
+/// Gets a path.
 pub(crate) fn get(address: &str, path: &str) -> io::Result<Response> {
     exchange(address, "GET", path, &[])
 }
 
-/// Sends a POST request with a JSON body.
+/// Posts a value as JSON.
 pub(crate) fn post<T: Serialize>(address: &str, path: &str, value: &T) -> io::Result<Response> {
     let body = serde_json::to_vec(value).expect("messages have a JSON form");
     exchange(address, "POST", path, &body)
 }
 
-/// Sends one request and reads the answer; a truncated answer is an error.
+/// Sends one request and reads the answer; an answer cut short is an error.
 pub(crate) fn exchange(
     address: &str,
     method: &str,
     path: &str,
     body: &[u8],
 ) -> io::Result<Response> {
-    let address: SocketAddr = address.parse().expect("an IP address and a port");
+    let address: SocketAddr = address.parse().expect("an IP number and port");
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     let length = body.len();
@@ -61,7 +61,7 @@
     parse(&answer).ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))
 }
 
-/// Parses a response; `None` if it is not complete.
+/// The response in these bytes; none when it is not whole.
 fn parse(answer: &[u8]) -> Option<Response> {
     let end = answer.windows(4).position(|window| window == b"\r\n\r\n")?;
     let head = std::str::from_utf8(&answer[..end]).ok()?.to_ascii_lowercase();
--- a/tests/integration/fleet/load.rs
+++ b/tests/integration/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Load of callers that send requests until they are stopped.
+//! Callers that keep asking until they are told to stop.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,12 +8,12 @@
 use ladder_schema::call::Request;
 
 use super::call::{BAGMATI, Exchange, ask};
-use super::wait_until;
+use super::until;
 
-/// Pause between an answer to a caller and the caller's next request.
+/// Between a caller's answer and its next request.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Callers that send requests to several instances in turn.
+/// Callers that ask through some instances in turn.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicUsize>,
@@ -21,10 +21,10 @@
 }
 
 impl Load {
-    /// Starts `callers` callers. Each sends the requests that `next` creates from the caller's
-    /// number and the request's number.
+    /// Starts `callers` that send, each for itself, what `next` makes of the caller's number and
+    /// the request's.
     pub(crate) fn start(
-        caller_addresses: &[String],
+        doors: &[String],
         callers: usize,
         next: impl Fn(usize, usize) -> Request + Send + Sync + 'static,
     ) -> Self {
@@ -33,14 +33,13 @@
         let next = Arc::new(next);
         let callers = (0..callers).map(|caller| {
             let (stop, answered) = (Arc::clone(&stop), Arc::clone(&answered));
-            let (caller_addresses, next) = (caller_addresses.to_vec(), Arc::clone(&next));
+            let (doors, next) = (doors.to_vec(), Arc::clone(&next));
             thread::spawn(move || {
                 let mut exchanges = Vec::new();
                 while !stop.load(Ordering::Relaxed) {
                     let number = exchanges.len();
-                    let caller_address =
-                        &caller_addresses[(caller + number) % caller_addresses.len()];
-                    exchanges.push(ask(caller_address, next(caller, number)));
+                    let door = &doors[(caller + number) % doors.len()];
+                    exchanges.push(ask(door, next(caller, number)));
                     answered.fetch_add(1, Ordering::Relaxed);
                     thread::sleep(PAUSE);
                 }
@@ -51,22 +50,22 @@
         Self { stop, answered, callers }
     }
 
-    /// Starts callers that send sweeps; `name` is the prefix of their request keys.
-    pub(crate) fn sweeps(name: &'static str, caller_addresses: &[String], callers: usize) -> Self {
-        Self::start(caller_addresses, callers, move |caller, number| {
+    /// Callers of sweeps; `name` begins their keys.
+    pub(crate) fn sweeps(name: &'static str, doors: &[String], callers: usize) -> Self {
+        Self::start(doors, callers, move |caller, number| {
             BAGMATI.sweep(&format!("{name}-{caller}-{number}"))
         })
     }
 
-    /// Starts callers that alternate between sweeps and bookings; the bookings use the `shards` in
-    /// turn, and `name` is the prefix of the request keys.
+    /// Callers of sweeps and bookings by turns; the bookings go over `shards` in turn, `name`
+    /// begins the keys.
     pub(crate) fn mixed(
         name: &'static str,
-        caller_addresses: &[String],
+        doors: &[String],
         callers: usize,
         shards: Vec<String>,
     ) -> Self {
-        Self::start(caller_addresses, callers, move |caller, number| {
+        Self::start(doors, callers, move |caller, number| {
             let key = format!("{name}-{caller}-{number}");
             match number % 2 {
                 0 => BAGMATI.sweep(&key),
@@ -75,18 +74,16 @@
         })
     }
 
-    /// Waits until the callers have received `answers` more answers.
-    pub(crate) fn wait_for_answers(&self, answers: usize) {
-        let target_count = self.answered.load(Ordering::Relaxed) + answers;
-        wait_until("callers get answers", || self.answered.load(Ordering::Relaxed) >= target_count);
+    /// Waits for this many more answers.
+    pub(crate) fn until_more(&self, answers: usize) {
+        let goal = self.answered.load(Ordering::Relaxed) + answers;
+        until("callers get answers", || self.answered.load(Ordering::Relaxed) >= goal);
     }
 
-    /// Stops the callers and returns all requests with their results.
+    /// Stops and gives all requests with their outcomes.
     pub(crate) fn finish(self) -> Vec<Exchange> {
         self.stop.store(true, Ordering::Relaxed);
         let callers = self.callers.into_iter();
-        callers
-            .flat_map(|caller| caller.join().expect("the caller thread does not panic"))
-            .collect()
+        callers.flat_map(|caller| caller.join().expect("a caller goes on")).collect()
     }
 }
--- a/tests/integration/fleet/turn.rs
+++ b/tests/integration/fleet/turn.rs
@@ -1,29 +1,29 @@
-//! Limits the number of fleets that run at the same time.
+//! Keeps the number of fleets that run at once low.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Largest number of fleets that run at the same time.
-const MAX_FLEETS: usize = 2;
+/// Fleets at once.
+const MOST: usize = 2;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static PERMIT_RETURNED: Condvar = Condvar::new();
+static ENDED: Condvar = Condvar::new();
 
-/// Permit to run a fleet; returned when dropped.
-pub(crate) struct FleetPermit(());
+/// The right to run a fleet until it is dropped.
+pub(crate) struct Turn(());
 
-impl FleetPermit {
-    /// Waits until another fleet may run and returns its permit.
-    pub(crate) fn acquire() -> Self {
+impl Turn {
+    /// Waits for a turn.
+    pub(crate) fn take() -> Self {
         let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let running = PERMIT_RETURNED.wait_while(running, |running| *running >= MAX_FLEETS);
+        let running = ENDED.wait_while(running, |running| *running >= MOST);
         *running.unwrap_or_else(PoisonError::into_inner) += 1;
         Self(())
     }
 }
 
-impl Drop for FleetPermit {
+impl Drop for Turn {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        PERMIT_RETURNED.notify_one();
+        ENDED.notify_one();
     }
 }
--- a/tests/integration/fleet/watch.rs
+++ b/tests/integration/fleet/watch.rs
@@ -1,5 +1,4 @@
-//! Polls the status of the instances all the time, so that a value that goes back between two steps
-//! of a test is detected.
+//! Looks at the instances' status all the time, so that nothing is seen to go back in between.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,55 +10,53 @@
 
 use super::{Fleet, http};
 
-/// Interval between two status requests to an instance.
-const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Between two looks at an instance.
+const PERIOD: Duration = Duration::from_millis(25);
 
-/// Polls the status of all instances of a fleet.
-pub(crate) struct StatusMonitor {
+/// Watches all instances of a fleet.
+pub(crate) struct Watch {
     stop: Arc<AtomicBool>,
-    pollers: Vec<JoinHandle<Vec<Instance>>>,
+    watchers: Vec<JoinHandle<Vec<Instance>>>,
 }
 
-impl StatusMonitor {
-    /// Starts to poll.
+impl Watch {
+    /// Starts to look.
     pub(crate) fn start(fleet: &Fleet) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let addresses = fleet.run.instances.iter().map(|member| &member.admin_address);
-        let pollers = addresses.cloned().map(|address| {
+        let watchers = addresses.cloned().map(|address| {
             let stop = Arc::clone(&stop);
-            thread::spawn(move || poll_status(&address, &stop))
+            thread::spawn(move || look(&address, &stop))
         });
-        let pollers = pollers.collect();
-        Self { stop, pollers }
+        let watchers = watchers.collect();
+        Self { stop, watchers }
     }
 
-    /// Stops polling, checks that no revision went back, and returns the statuses of each instance
-    /// in order of time.
+    /// Stops; checks that nothing went back; gives what was seen of each instance in order of time.
     pub(crate) fn finish(self) -> Vec<Vec<Instance>> {
         self.stop.store(true, Ordering::Relaxed);
-        let seen = self.pollers.into_iter().map(|poller| {
-            let seen = poller.join().expect("the polling thread does not panic");
-            check_revisions_never_decrease(&seen);
+        let seen = self.watchers.into_iter().map(|watcher| {
+            let seen = watcher.join().expect("the watcher goes on");
+            check_never_back(&seen);
             seen
         });
         seen.collect()
     }
 }
 
-fn poll_status(address: &str, stop: &AtomicBool) -> Vec<Instance> {
+fn look(address: &str, stop: &AtomicBool) -> Vec<Instance> {
     let mut seen = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         if let Ok(response) = http::get(address, "/status") {
             seen.push(response.json());
         }
-        thread::sleep(POLL_INTERVAL);
+        thread::sleep(PERIOD);
     }
     seen
 }
 
-/// Checks that neither the revision of an instance nor that of any catalogue entry went back during
-/// the life of its process.
-fn check_revisions_never_decrease(seen: &[Instance]) {
+/// No instance's revision, nor that of any entry, went back while the process lived.
+fn check_never_back(seen: &[Instance]) {
     for pair in seen.windows(2) {
         let (before, after) = (&pair[0], &pair[1]);
         if before.incarnation != after.incarnation {
--- a/tests/integration/lanes.rs
+++ b/tests/integration/lanes.rs
@@ -1,4 +1,4 @@
-//! Tests what the end of an HTTP exchange with a target proves about the execution of the request.
+//! What the end of an exchange with a target proves.
 
 use std::io;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use ladder_core::leaf::event::Outcome;
 use ladder_schema::outcome::Reason;
 use ladder_schema::target;
-use sycamoreladder::entry::native::{failure_outcome, response_outcome};
+use sycamoreladder::entry::native::{broken, outcome};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
 
-/// Guards against executing one booking twice.
+/// One dock is booked twice.
 ///
-/// A target dies right after a booking was written to it, and the connection ends without an
-/// answer. The HTTP client reports this as a failed connect. If the leaf took that as proof that
-/// nothing was written, it would send the booking to another replica.
+/// A target dies right after a booking was written to it; the connection ends without an answer;
+/// the leaf sends the booking to the other replica. The cause was that the HTTP client calls this
+/// a failed connect, which was taken for proof that nothing was written.
 #[test]
-fn connection_closed_after_the_write_is_lost_not_unsent() {
+fn connection_that_ends_after_the_write_is_lost() {
     let error = actix_rt::System::new().block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -34,33 +34,33 @@
         client.post(format!("http://{address}/query")).send_json(&request).await.err()
     });
     let error = error.expect("no answer");
-    assert_eq!(failure_outcome(&error), Outcome::Lost, "{error}");
+    assert_eq!(broken(&error), Outcome::Lost, "{error}");
 }
 
-struct FailedExchange(SendRequestError, Outcome);
+struct Broken(SendRequestError, Outcome);
 
 #[test]
 fn only_errors_before_the_connection_prove_that_nothing_was_written() {
     let reset = || io::Error::from(io::ErrorKind::ConnectionReset);
     let cases = [
-        FailedExchange(SendRequestError::Connect(ConnectError::Io(reset())), Outcome::Unsent),
-        FailedExchange(SendRequestError::Connect(ConnectError::Timeout), Outcome::Unsent),
-        FailedExchange(SendRequestError::Connect(ConnectError::Disconnected), Outcome::Lost),
-        FailedExchange(SendRequestError::Send(reset()), Outcome::Lost),
-        FailedExchange(SendRequestError::Timeout, Outcome::Lost),
+        Broken(SendRequestError::Connect(ConnectError::Io(reset())), Outcome::Unsent),
+        Broken(SendRequestError::Connect(ConnectError::Timeout), Outcome::Unsent),
+        Broken(SendRequestError::Connect(ConnectError::Disconnected), Outcome::Lost),
+        Broken(SendRequestError::Send(reset()), Outcome::Lost),
+        Broken(SendRequestError::Timeout, Outcome::Lost),
     ];
-    for FailedExchange(error, outcome) in cases {
-        assert_eq!(failure_outcome(&error), outcome, "{error:?}");
+    for Broken(error, outcome) in cases {
+        assert_eq!(broken(&error), outcome, "{error:?}");
     }
 }
 
-/// HTTP status and body of a response, and the outcome that it proves.
-struct ResponseCase(StatusCode, &'static str, Outcome);
+/// Status and body of a response, and what it proves.
+struct Response(StatusCode, &'static str, Outcome);
 
-/// Guards against executing a request twice after an intermediary rejected it.
+/// A request that a proxy on the way turned down runs twice.
 ///
-/// A 503 may come from a proxy that doesn't know whether the target has started the request. If the
-/// leaf took any 503 as a refusal of the target, it would send the request again.
+/// A 503 comes from somebody who doesn't know whether the target has started the request; the
+/// leaf sends it again. The cause would be to take any 503 for a refusal of the target.
 #[test]
 fn only_a_refusal_that_names_the_request_proves_that_it_did_not_run() {
     let refusal = target::Refusal {
@@ -71,13 +71,13 @@
     let own = r#"{"id":"a1","reason":"REASON_TARGET_SHED"}"#;
     let foreign = r#"{"id":"a2","reason":"REASON_TARGET_SHED"}"#;
     let cases = [
-        ResponseCase(StatusCode::SERVICE_UNAVAILABLE, own, Outcome::Refusal(refusal)),
-        ResponseCase(StatusCode::SERVICE_UNAVAILABLE, foreign, Outcome::Error),
-        ResponseCase(StatusCode::SERVICE_UNAVAILABLE, "upstream unavailable", Outcome::Error),
-        ResponseCase(StatusCode::BAD_GATEWAY, own, Outcome::Error),
-        ResponseCase(StatusCode::OK, "{", Outcome::Error),
+        Response(StatusCode::SERVICE_UNAVAILABLE, own, Outcome::Refusal(refusal)),
+        Response(StatusCode::SERVICE_UNAVAILABLE, foreign, Outcome::Error),
+        Response(StatusCode::SERVICE_UNAVAILABLE, "upstream unavailable", Outcome::Error),
+        Response(StatusCode::BAD_GATEWAY, own, Outcome::Error),
+        Response(StatusCode::OK, "{", Outcome::Error),
     ];
-    for ResponseCase(status, body, expected) in cases {
-        assert_eq!(response_outcome(status, body.as_bytes(), "a1"), expected, "{body}");
+    for Response(status, body, proof) in cases {
+        assert_eq!(outcome(status, body.as_bytes(), "a1"), proof, "{body}");
     }
 }
--- a/tests/integration/link.rs
+++ b/tests/integration/link.rs
@@ -1,4 +1,4 @@
-//! Tests of the connections between instances.
+//! Connections between instances.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,18 +9,18 @@
 
 use ladder_schema::wire::{Frame, Probe};
 use sycamoreladder::clock::Clock;
-use sycamoreladder::link::{CutLinks, Identity, Outbound};
+use sycamoreladder::link::{Cut, Identity, Outbound};
 use sycamoreladder::metrics::Metrics;
 
-/// Longest wait for the expected condition of a test.
-const TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes that a receiving nng socket sends when a connection opens.
+/// Longest wait for anything.
+const PATIENCE: Duration = Duration::from_secs(30);
+/// What a receiving socket says of itself when a connection opens.
 const GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
 
-/// A peer that accepts connections and frames, and never sends a frame.
+/// A peer that takes connections and frames, and never says anything.
 struct Peer {
     address: String,
-    /// Number of connections accepted so far.
+    /// Connections so far.
     connections: Arc<AtomicUsize>,
 }
 
@@ -33,7 +33,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 counter.fetch_add(1, Ordering::Relaxed);
-                thread::spawn(move || read_and_discard(stream));
+                thread::spawn(move || swallow(stream));
             }
         });
         Self { address, connections }
@@ -44,7 +44,7 @@
     }
 }
 
-fn read_and_discard(mut stream: TcpStream) {
+fn swallow(mut stream: TcpStream) {
     let _ = stream.write_all(&GREETING);
     let mut buffer = [0; 1024];
     while matches!(stream.read(&mut buffer), Ok(1..)) {}
@@ -59,24 +59,24 @@
         zone: "trindade".to_owned(),
     };
     let metrics = Metrics::new().expect("instruments");
-    Outbound::new(identity, Clock::new(), metrics, CutLinks::default(), Arc::new(|_| {}))
+    Outbound::new(identity, Clock::new(), metrics, Cut::default(), Arc::new(|_| {}))
 }
 
 fn probe(number: u64) -> Frame {
     Frame { probes: vec![Probe { number }], ..Frame::default() }
 }
 
-/// Guards against keeping a connection between two instances that fails without notice to either
-/// end. The operating system accepted frames on it for a quarter of an hour, so that each instance
-/// considered the other dead and probed it again on the same connection. A peer that leaves probes
-/// unanswered is dialled again; a peer that answers keeps its connection.
+/// A connection between two instances goes silent: neither end is told, and nothing that is sent on it
+/// arrives. The frames were taken by the system for a quarter of an hour, so that each held the other dead
+/// and asked it again and again on the same connection. A peer that is asked and not heard of is dialled
+/// anew; one that answers keeps its connection.
 #[test]
-fn silent_connection_is_replaced_and_answering_one_kept() {
+fn silent_connection_is_dialled_anew() {
     let (silent, link) = (Peer::start(), link());
-    let started_at = Instant::now();
+    let begun = Instant::now();
     let mut number = 0;
     while silent.connections() < 2 {
-        assert!(started_at.elapsed() < TIMEOUT, "the peer is dialled again");
+        assert!(begun.elapsed() < PATIENCE, "it is dialled anew");
         number += 1;
         link.send(&silent.address, probe(number));
         thread::sleep(Duration::from_millis(50));
@@ -84,8 +84,8 @@
     let answering = Peer::start();
     for number in 0..60 {
         link.send(&answering.address, probe(number));
-        link.record_received(&answering.address);
+        link.heard(&answering.address);
         thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(answering.connections(), 1, "a peer that answers keeps its connection");
+    assert_eq!(answering.connections(), 1, "it answers all the while");
 }
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,4 +1,4 @@
-//! Integration tests of the processes and their interfaces to each other.
+//! Tests of the processes and of what joins them.
 
 mod catalogue;
 mod crash;
--- a/tests/integration/path.rs
+++ b/tests/integration/path.rs
@@ -1,4 +1,4 @@
-//! Test of the whole path of requests through real processes.
+//! The whole path through real processes.
 
 use ladder_schema::call::{Answer, Request};
 use ladder_schema::outcome::{Reason, Verdict};
@@ -7,19 +7,19 @@
 use crate::fleet::call::{Exchange, PORTO, ask};
 use crate::fleet::{Fleet, http, layout};
 
-/// A request that must be refused, with the expected HTTP status and reason.
-struct RefusalCase {
+/// A request that is refused, and how.
+struct Refused {
     request: Request,
     status: u16,
     reason: Reason,
 }
 
-fn refusal_cases() -> Vec<RefusalCase> {
-    let case = |request, status, reason| RefusalCase { request, status, reason };
-    let unknown_name = || "nowhere".to_owned();
-    let index = Request { index: unknown_name(), ..PORTO.sweep("unknown-index") };
-    let operation = Request { operation: unknown_name(), ..PORTO.sweep("unknown-operation") };
-    let shard = Request { shards: vec![unknown_name()], ..PORTO.sweep("unknown-shard") };
+fn refused() -> Vec<Refused> {
+    let case = |request, status, reason| Refused { request, status, reason };
+    let nowhere = || "nowhere".to_owned();
+    let index = Request { index: nowhere(), ..PORTO.sweep("unknown-index") };
+    let operation = Request { operation: nowhere(), ..PORTO.sweep("unknown-operation") };
+    let shard = Request { shards: vec![nowhere()], ..PORTO.sweep("unknown-shard") };
     let large = "x".repeat(64 * 1024 + 1);
     let payload = Request { payload: large, ..PORTO.sweep("payload-too-large") };
     let deadline = Request { deadline_ms: 60_001, ..PORTO.sweep("deadline-too-long") };
@@ -35,40 +35,40 @@
     ]
 }
 
-/// A sweep over all shards is complete and consists of its own parts, and a booking is executed
-/// once. Requests that cannot be served are refused with their reason before any target receives
-/// them. No process fails in this test; it covers the path that all other tests rely on.
+/// A commuter looks for a dock at all stations and books one: the sweep comes back whole and is
+/// the commuter's own, the booking runs once. What cannot be served is refused with its reason,
+/// before any target hears of it. Nothing fails here; it is the path that all other proofs use.
 #[test]
-fn requests_are_answered_or_refused_with_their_reason() {
+fn whole_path() {
     let fleet = Fleet::start(layout(User::Porto, 2));
     let index = fleet.index(PORTO.index);
     for at in fleet.running() {
-        let sweep = ask(&fleet.caller_address(at), PORTO.sweep(&format!("sweep-{at}")));
+        let sweep = ask(&fleet.door(at), PORTO.sweep(&format!("sweep-{at}")));
         sweep.check_complete(&index);
         assert_eq!(sweep.answer().verdict(), Verdict::Ran);
         for shard in &index.shards {
             let key = format!("booking-{at}-{}", shard.name);
-            let booking = ask(&fleet.caller_address(at), PORTO.booking(&key, &shard.name));
+            let booking = ask(&fleet.door(at), PORTO.booking(&key, &shard.name));
             booking.check_complete(&index);
             assert_eq!(booking.answer().verdict(), Verdict::Ran);
-            assert_eq!(fleet.executions().count_of_key(&key), 1);
+            assert_eq!(fleet.executed().of_key(&key), 1);
         }
     }
     check_refusals(&fleet);
     check_expired(&fleet);
-    fleet.executions().check_none_executed_twice(PORTO.booking);
+    fleet.executed().check_no_doubles(PORTO.booking);
     fleet.check_connections();
 }
 
 fn check_refusals(fleet: &Fleet) {
     let mut keys = Vec::new();
-    for case in refusal_cases() {
-        let exchange = ask(&fleet.caller_address(0), case.request);
+    for case in refused() {
+        let exchange = ask(&fleet.door(0), case.request);
         let answer = exchange.answer();
         assert_eq!(exchange.status(), case.status, "{answer:?}");
         assert_eq!(answer.reason(), case.reason, "{answer:?}");
         keys.push(exchange.request.key.clone());
-        // The entry instance does not know what the first attempt did.
+        // What the first attempt did is not known here.
         let expected = match case.reason {
             Reason::RepeatedKey => Verdict::MayHaveRun,
             _ => Verdict::NotRun,
@@ -81,30 +81,29 @@
         (&[b' '; 128 * 1024 + 1], 413, Reason::TooLarge),
     ];
     for (body, status, reason) in bodies {
-        let response =
-            http::exchange(&fleet.caller_address(0), "POST", "/query", body).expect("an answer");
+        let response = http::exchange(&fleet.door(0), "POST", "/query", body).expect("an answer");
         let answer: Answer = response.json();
         assert_eq!((response.status, answer.reason()), (status, reason));
         assert_eq!(answer.verdict(), Verdict::NotRun);
     }
-    let executions = fleet.executions();
+    let executed = fleet.executed();
     for key in keys {
-        assert_eq!(executions.count_of_key(&key), 0, "{key:?} ran");
+        assert_eq!(executed.of_key(&key), 0, "{key:?} ran");
     }
 }
 
-/// Sends requests with a deadline that cannot be met: no caller is kept waiting, and no request
-/// that is reported as not executed was executed.
+/// A deadline that nothing can meet: nobody is kept waiting, and what is said not to have run did
+/// not run.
 fn check_expired(fleet: &Fleet) {
     let exchanges = (0..20).map(|number| {
         let booking = PORTO.booking(&format!("expired-{number}"), "gate-finder-01");
-        ask(&fleet.caller_address(number % 2), Request { deadline_ms: 1, ..booking })
+        ask(&fleet.door(number % 2), Request { deadline_ms: 1, ..booking })
     });
     let exchanges: Vec<Exchange> = exchanges.collect();
-    fleet.wait_until_idle();
-    let executions = fleet.executions();
+    fleet.until_idle();
+    let executed = fleet.executed();
     for exchange in &exchanges {
-        executions.check_verdicts(exchange);
+        executed.check_verdicts(exchange);
         let answer = exchange.answer();
         if answer.verdict() == Verdict::Ran {
             continue;
--- a/tests/integration/pause.rs
+++ b/tests/integration/pause.rs
@@ -1,4 +1,4 @@
-//! Test of an instance that is paused for longer than every timeout and then resumes.
+//! An instance is suspended for longer than every time limit, and wakes.
 
 use std::thread::JoinHandle;
 
@@ -8,123 +8,111 @@
 use ladder_standin::layout::user::User;
 use rustix::process::Signal;
 
-use crate::fleet::call::{BAGMATI, Exchange, ask, join_all, send};
+use crate::fleet::call::{BAGMATI, Exchange, ask, received, send};
 use crate::fleet::load::Load;
-use crate::fleet::{Fleet, layout, wait_until};
+use crate::fleet::{Fleet, layout, until};
 
-/// Waits until all running instances except `victim` consider it dead and not the owner of any
-/// service.
-fn wait_until_considered_dead(fleet: &Fleet, victim: usize) {
+/// Waits until all running instances but `victim` hold it dead and for nobody's owner.
+fn until_dead(fleet: &Fleet, victim: usize) {
     let name = fleet.name(victim);
-    wait_until("the paused instance is considered dead", || {
+    until("the frozen instance is held dead", || {
         let mut others = fleet.running().into_iter().filter(|&at| at != victim);
         others.all(|at| {
-            let status = fleet.expect_status(at);
+            let status = fleet.view(at);
             let mut members = status.members.iter();
-            let is_alive = |liveness| matches!(liveness, Liveness::Alive | Liveness::Suspect);
-            !members.any(|member| member.name == name && is_alive(member.liveness()))
+            let alive = |liveness| matches!(liveness, Liveness::Alive | Liveness::Suspect);
+            !members.any(|member| member.name == name && alive(member.liveness()))
                 && status.services.iter().all(|service| service.owner != name)
         })
     });
 }
 
-/// Guards against a double booking, or an answer that reports an executed booking as not executed,
-/// after a process pause. An instance with open bookings is paused, and resumes long after others
-/// have taken over its services. It then has queued work, open deadlines and a view in which it
-/// owns these services. It must not act on outdated state, and every caller is answered, including
-/// its own.
+/// An instance's machine is suspended with bookings in hand, and resumed when others have long
+/// taken its services over. It wakes with queued work, open deadlines and a view in which it owns
+/// them. A caller would see a dock booked twice, or an answer that calls a booking not run when it
+/// ran. Nothing stale may be acted on; every caller is answered, also its own.
 #[test]
-fn paused_owner_acts_on_no_outdated_state() {
+fn frozen_owner() {
     let fleet = Fleet::start(layout(User::Bagmati, 4));
     let service = fleet.index(BAGMATI.index).shards.remove(0).service;
     let victim = fleet.owner(&service);
-    let entry = fleet.other_caller_addresses(victim).remove(0);
+    let entry = fleet.others(victim).remove(0);
     let shards = fleet.shards(BAGMATI.index);
-    let other_load =
-        Load::mixed("beside", &fleet.other_caller_addresses(victim), 4, shards.clone());
-    let own_load = Load::start(&[fleet.caller_address(victim)], 4, move |caller, number| {
+    let beside = Load::mixed("beside", &fleet.others(victim), 4, shards.clone());
+    let own = Load::start(&[fleet.door(victim)], 4, move |caller, number| {
         let key = format!("own-{caller}-{number}");
         BAGMATI.booking(&key, &shards[(caller + number) % shards.len()])
     });
-    other_load.wait_for_answers(50);
-    own_load.wait_for_answers(20);
-    let open_bookings = pause_owner(&fleet, victim, &entry, &service);
-    other_load.wait_for_answers(50);
-    wait_until_considered_dead(&fleet, victim);
-    let mut exchanges = join_all(open_bookings);
+    beside.until_more(50);
+    own.until_more(20);
+    let open = freeze(&fleet, victim, &entry, &service);
+    beside.until_more(50);
+    until_dead(&fleet, victim);
+    let mut exchanges = received(open);
     check_retries(&fleet, victim, &exchanges);
     fleet.signal(victim, Signal::CONT);
-    own_load.wait_for_answers(20);
-    fleet.wait_until_settled();
-    other_load.wait_for_answers(50);
-    exchanges.extend(other_load.finish());
-    exchanges.extend(own_load.finish());
+    own.until_more(20);
+    fleet.settle();
+    beside.until_more(50);
+    exchanges.extend(beside.finish());
+    exchanges.extend(own.finish());
     fleet.check(&exchanges);
     fleet.check_connections();
 }
 
-/// Pauses the owner of a service while one booking is held by a silent target and another is on its
-/// way to the owner.
-fn pause_owner(
-    fleet: &Fleet,
-    victim: usize,
-    caller_address: &str,
-    service: &str,
-) -> Vec<JoinHandle<Exchange>> {
-    // The caller's deadline passes before the owner resumes.
-    let short_booking = |key: &str| Request { deadline_ms: 3000, ..BAGMATI.booking(key, service) };
-    let mut open_bookings = Vec::new();
-    // Other bookings may occupy all connections to the silent target. A booking that then can't run
-    // in time is refused at once, and that refusal must be true. In this case the target answers
-    // again and another booking is sent.
+/// Freezes the owner of a service with one booking at a silent target and one on its way to it.
+fn freeze(fleet: &Fleet, victim: usize, door: &str, service: &str) -> Vec<JoinHandle<Exchange>> {
+    // Given up before the owner wakes.
+    let short = |key: &str| Request { deadline_ms: 3000, ..BAGMATI.booking(key, service) };
+    let mut open = Vec::new();
+    // The bookings beside it may hold all connections to the silent target. One that can't run in
+    // time then is refused at once, which must be true; the target speaks again and another is sent.
     for attempt in 0.. {
         assert!(attempt < 20, "no booking runs");
         let key = format!("running-{attempt}");
-        fleet.set_silent(service, true);
-        open_bookings.push(send(caller_address.to_owned(), short_booking(&key)));
-        let running = open_bookings.last().expect("it was sent just now");
-        wait_until("the booking runs or is refused", || {
-            fleet.executions().count_of_key(&key) > 0 || running.is_finished()
+        fleet.silence(service, true);
+        open.push(send(door.to_owned(), short(&key)));
+        let running = open.last().expect("it was sent just now");
+        until("the booking runs or is refused", || {
+            fleet.executed().of_key(&key) > 0 || running.is_finished()
         });
-        if fleet.executions().count_of_key(&key) > 0 {
+        if fleet.executed().of_key(&key) > 0 {
             break;
         }
-        fleet.set_silent(service, false);
-        let mut retries = 0;
-        wait_until("a booking runs again", || {
-            retries += 1;
-            let again = ask(caller_address, short_booking(&format!("again-{attempt}-{retries}")));
+        fleet.silence(service, false);
+        let mut asked = 0;
+        until("a booking runs again", || {
+            asked += 1;
+            let again = ask(door, short(&format!("again-{attempt}-{asked}")));
             again.answer().verdict() == Verdict::Ran
         });
     }
     fleet.signal(victim, Signal::STOP);
-    fleet.set_silent(service, false);
-    open_bookings.push(send(caller_address.to_owned(), short_booking("on-its-way")));
-    open_bookings
+    fleet.silence(service, false);
+    open.push(send(door.to_owned(), short("on-its-way")));
+    open
 }
 
-/// A second attempt of a booking that ended without proof is not executed either, at whichever
-/// instance.
+/// What ended without proof is not run by a second attempt either, whoever is asked.
 fn check_retries(fleet: &Fleet, victim: usize, exchanges: &[Exchange]) {
-    let executions = fleet.executions();
+    let executed = fleet.executed();
     for exchange in exchanges {
         let answer = exchange.answer();
         if exchange.request.key.starts_with("running") {
-            let ran = executions.count_of_key(&exchange.request.key) > 0;
-            let verdict = if ran { Verdict::MayHaveRun } else { Verdict::NotRun };
-            assert_eq!(answer.verdict(), verdict, "{answer:?}");
+            let ran = executed.of_key(&exchange.request.key) > 0;
+            let told = if ran { Verdict::MayHaveRun } else { Verdict::NotRun };
+            assert_eq!(answer.verdict(), told, "{answer:?}");
         }
         if answer.verdict() == Verdict::NotRun {
             continue;
         }
-        // An instance that saw the booking run may report so; no instance may claim more than is
-        // true.
+        // A door that saw it run may say so; none may say more than is true.
         let ran = answer.verdict() == Verdict::Ran;
-        for caller_address in fleet.other_caller_addresses(victim) {
-            let retry = ask(&caller_address, Request { attempt: 2, ..exchange.request.clone() });
+        for door in fleet.others(victim) {
+            let retry = ask(&door, Request { attempt: 2, ..exchange.request.clone() });
             let answer = retry.answer();
-            let verdict = answer.verdict();
-            assert!(verdict == Verdict::MayHaveRun || ran && verdict == Verdict::Ran, "{answer:?}");
+            let told = answer.verdict();
+            assert!(told == Verdict::MayHaveRun || ran && told == Verdict::Ran, "{answer:?}");
             assert_eq!(answer.reason(), Reason::RepeatedKey, "{answer:?}");
             assert_eq!(retry.status(), 409);
         }
--- a/tests/integration/settings.rs
+++ b/tests/integration/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of settings files: valid ones load, each invalid one is refused with its error message.
+//! Settings files: the valid ones load, each invalid one is refused with its message.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,10 +7,10 @@
 use ladder_schema::publication::Page;
 use sycamoreladder::options::file;
 
-/// Returns the files with the extension `extension` in the folder `folder` of the repository.
+/// Files with `extension` below `folder` of the repository.
 fn files(folder: &str, extension: &str) -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join(folder);
-    let entries = fs::read_dir(folder).expect("the folder exists");
+    let entries = fs::read_dir(folder).expect("the folder is there");
     let mut files: Vec<_> = entries
         .map(|entry| entry.expect("readable folder").path())
         .filter(|path| path.extension().is_some_and(|found| found == extension))
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn every_record_of_the_sample_catalogues_is_valid() {
+fn sample_catalogues_would_be_taken_whole() {
     for user in ["porto", "bagmati"] {
         for path in files(&format!("sample_configs/{user}/pages"), "json") {
             let text = fs::read_to_string(&path).expect("readable file");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn error_of_invalid_settings_names_field_value_and_range() {
+fn invalid_settings_name_field_value_and_range() {
     for path in files("tests/invalid_configs", "json") {
         let expected = fs::read_to_string(path.with_extension("txt")).expect("expected message");
         let error = file::load(&path).expect_err("an invalid file").to_string();
@@ -55,9 +55,8 @@
 }
 
 #[test]
-fn error_names_every_invalid_field() {
-    let error =
-        file::parse(r#"{"name": "a b", "timing": {"pauseMs": 1}}"#).expect_err("invalid settings");
+fn every_mistake_is_named_at_once() {
+    let error = file::parse(r#"{"name": "a b", "timing": {"pauseMs": 1}}"#).expect_err("mistakes");
     let text = error.to_string();
     for field in ["fleet", "name", "zone", "callerAddress", "timing.pauseMs"] {
         assert!(text.contains(&format!("\n  {field}: ")), "{field} is not named in {text}");
--- a/tests/integration/version.rs
+++ b/tests/integration/version.rs
@@ -1,4 +1,4 @@
-//! Test of a new version of an index with other shards, published while sweeps run.
+//! A new version of an index with other shards, while sweeps run.
 
 use ladder_schema::publication::record::Body;
 use ladder_schema::publication::{Holding, Index, Server, Shard};
@@ -9,8 +9,8 @@
 use crate::fleet::load::Load;
 use crate::fleet::{Fleet, layout};
 
-/// Returns the next version of an index, in which each shard is split in two on the same service.
-fn split_shards(old: &Index) -> Index {
+/// The next version, in which each shard is split in two on the same service.
+fn split(old: &Index) -> Index {
     let halves = old.shards.iter().flat_map(|shard| {
         ["low", "high"].map(|half| Shard {
             name: format!("{}-{half}", shard.name),
@@ -20,42 +20,41 @@
     Index { name: old.name.clone(), version: old.version + 1, shards: halves.collect() }
 }
 
-/// Makes a server hold these versions of an index, publishes the change and returns its revision.
-fn publish_holdings(fleet: &Fleet, server: &Server, index: &str, versions: &[u64]) -> u64 {
+/// Makes a server hold these versions of an index, and publishes it.
+fn hold(fleet: &Fleet, server: &Server, index: &str, versions: &[u64]) -> u64 {
     let holdings = versions.iter().map(|&version| Holding { index: index.to_owned(), version });
     let server = Server { holdings: holdings.collect(), ..server.clone() };
     let fault = Fault { holdings: server.holdings.clone(), ..Fault::default() };
-    fleet.set_fault(&server.name, &fault);
+    fleet.fault(&server.name, &fault);
     fleet.publish(vec![Body::Server(server)])
 }
 
-/// Guards against an answer that combines two versions of an index, which would contain a record
-/// twice or not at all. An index version with split shards is loaded by one server after another,
-/// and the old version dropped, while sweeps run. An answer that counts shards without naming them
-/// would hide the fault. Every answer is of one version and accounts for all shards of that
-/// version.
+/// A new index version with split shards is loaded by one server after another and the old one
+/// dropped, while officers' checks run. An answer put together of both would show a member twice or
+/// not at all, and one that counts shards without naming them would hide that. Every answer is of
+/// one version and accounts for all shards of that version's map.
 #[test]
-fn answers_during_repartitioning_are_of_one_version() {
+fn repartitioned_under_load() {
     let fleet = Fleet::start(layout(User::Bagmati, 4));
     let old = fleet.index(BAGMATI.index);
-    let new = split_shards(&old);
+    let new = split(&old);
     let holders = old.shards.iter().flat_map(|shard| fleet.servers_of(&shard.service));
     let holders: Vec<&Server> = holders.collect();
-    let load = Load::sweeps("sweep", &fleet.caller_addresses(), 8);
-    load.wait_for_answers(50);
+    let load = Load::sweeps("sweep", &fleet.doors(), 8);
+    load.until_more(50);
     fleet.publish(vec![Body::Index(new.clone())]);
-    load.wait_for_answers(20);
+    load.until_more(20);
     for server in &holders {
-        publish_holdings(&fleet, server, &old.name, &[old.version, new.version]);
-        load.wait_for_answers(10);
+        hold(&fleet, server, &old.name, &[old.version, new.version]);
+        load.until_more(10);
     }
     let mut last = 0;
     for server in &holders {
-        last = publish_holdings(&fleet, server, &old.name, &[new.version]);
-        load.wait_for_answers(10);
+        last = hold(&fleet, server, &old.name, &[new.version]);
+        load.until_more(10);
     }
-    fleet.wait_until_in_force(last);
-    load.wait_for_answers(50);
+    fleet.until_in_force(last);
+    load.until_more(50);
     let exchanges = load.finish();
     for exchange in &exchanges {
         let version = exchange.answer().version;
