--- a/tests/integration/catalogue.rs
+++ b/tests/integration/catalogue.rs
@@ -1,4 +1,4 @@
-//! Changes of the catalogue while the platform fails and operators race.
+//! Catalogue changes during failures of the platform and concurrent changes by operators.
 
 use std::thread;
 
@@ -10,130 +10,154 @@
 use ladder_schema::standin::Mode;
 use ladder_standin::layout::user::User;
 
-use crate::fleet::call::{ask, report};
-use crate::fleet::load::Load;
-use crate::fleet::watch::Watch;
-use crate::fleet::{Fleet, http, layout, until};
+use crate::fleet::call::{report_desk_request, send_request};
+use crate::fleet::load::CallerLoad;
+use crate::fleet::watch::StatusMonitor;
+use crate::fleet::{Fleet, http, small_layout, wait_until};
 
-/// Races of operators.
-const RACES: u64 = 10;
+/// Number of times that two operators publish concurrently.
+const RACE_COUNT: u64 = 10;
 
-/// An operator withdraws an operation; the platform fails when a single instance has read the
-/// change, and comes back with an old copy. An instance is replaced meanwhile and knows nothing but
-/// that copy and its peers. Callers would be served by the withdrawn operation again, here or there.
-/// The change must reach all, stay, and be the first thing that the newcomer serves by.
+/// Guards against a withdrawn operation being served again. An operator withdraws an operation, the
+/// platform fails once a single instance has read the change, and then restarts with an old copy.
+/// One instance is restarted meanwhile and knows only that old copy and its peers. The change must
+/// reach all instances, must never be undone, and the restarted instance must not become ready
+/// without it.
 #[test]
-fn platform_down_then_stale() {
-    let mut fleet = Fleet::start_edited(layout(User::Bagmati, 4), &[1, 2, 3], |_| {});
-    let watch = Watch::start(&fleet);
-    let changed = fleet.publish(vec![Body::Entry(fleet.entry("report-desk", "summary"))]);
-    until("the change has reached one instance", || {
-        fleet.status(0).is_some_and(|status| status.revision >= changed)
+fn withdrawn_operation_stays_withdrawn_after_platform_restores_old_copy() {
+    let mut fleet = Fleet::start_with(small_layout(User::Bagmati, 4), &[1, 2, 3], |_| {});
+    let monitor = StatusMonitor::start(&fleet);
+    let changed_revision =
+        fleet.publish(vec![Body::Entry(fleet.entry_with_operation("report-desk", "summary"))]);
+    wait_until("one instance has applied the change", || {
+        fleet.status(0).is_some_and(|status| status.revision >= changed_revision)
     });
-    fleet.mode(Mode { down: true, ..Mode::default() });
-    fleet.until_in_force(changed);
+    fleet.set_platform_mode(Mode { down: true, ..Mode::default() });
+    fleet.wait_for_revision(changed_revision);
     fleet.restart_platform();
-    let newcomer = 2;
-    fleet.kill(newcomer);
+    let restarted = 2;
+    fleet.kill(restarted);
     let platform = fleet.run.platform_address.clone();
-    fleet.edit(newcomer, |settings| settings.platform_address = platform);
-    let callers = Load::start(&[fleet.door(newcomer)], 2, |caller, number| {
-        report("report", &format!("withdrawn-{caller}-{number}"))
+    fleet.edit_settings(restarted, |settings| settings.platform_address = platform);
+    let callers = CallerLoad::start(&[fleet.caller_address(restarted)], 2, |caller, number| {
+        report_desk_request("report", &format!("withdrawn-{caller}-{number}"))
     });
-    fleet.restart(newcomer);
-    until("the newcomer is ready", || fleet.is_ready(newcomer));
-    callers.until_more(100);
-    let seen = watch.finish();
-    check_withdrawn(callers);
-    fleet.settle();
-    fleet.until_in_force(changed);
-    for at in fleet.running() {
-        let answer = ask(&fleet.door(at), report("summary", &format!("summary-{at}")));
-        answer.check_complete(&fleet.index("report-desk"));
+    fleet.restart(restarted);
+    wait_until("the restarted instance is ready", || fleet.is_ready(restarted));
+    callers.wait_for_answers(100);
+    let instance_statuses = monitor.stop_and_collect();
+    check_withdrawn_operation_not_executed(callers);
+    fleet.wait_until_settled();
+    fleet.wait_for_revision(changed_revision);
+    for instance in fleet.running_instances() {
+        let answer = send_request(
+            &fleet.caller_address(instance),
+            report_desk_request("summary", &format!("summary-{instance}")),
+        );
+        answer.check_complete(&fleet.published_index("report-desk"));
     }
-    let last = seen[newcomer].last().expect("it was seen").incarnation;
-    for status in seen[newcomer].iter().filter(|status| status.incarnation == last) {
-        assert!(!status.ready || status.revision >= changed, "served by the old copy");
+    let last_incarnation =
+        instance_statuses[restarted].last().expect("the instance reported its status").incarnation;
+    for status in
+        instance_statuses[restarted].iter().filter(|status| status.incarnation == last_incarnation)
+    {
+        assert!(
+            !status.ready || status.revision >= changed_revision,
+            "the instance was ready with the old catalogue"
+        );
     }
 }
 
-/// No caller was served by the withdrawn operation.
-fn check_withdrawn(callers: Load) {
-    // Before it listens, a new process gives no answer at all.
-    for exchange in callers.finish().iter().filter(|exchange| exchange.outcome.is_ok()) {
+/// Checks that no caller's request was executed by the withdrawn operation.
+fn check_withdrawn_operation_not_executed(callers: CallerLoad) {
+    // Requests sent before the restarted process listens get no answer and are skipped.
+    for exchange in callers.stop_and_collect().iter().filter(|exchange| exchange.outcome.is_ok()) {
         let answer = exchange.answer();
         let reasons = [Reason::UnknownOperation, Reason::NotReady];
-        assert!(answer.covered.is_empty(), "served by the withdrawn operation: {answer:?}");
+        assert!(answer.covered.is_empty(), "the withdrawn operation was executed: {answer:?}");
         assert!(reasons.contains(&answer.reason()), "{answer:?}");
     }
 }
 
-/// Two operators change the same entry at once, from the same revision. If both were told that
-/// their change is accepted, one would be lost without a word; if instances took different ones,
-/// callers would get other answers from each. One is told to look again, and all instances end with
-/// the other's entry.
+/// Guards against a lost update. Two operators change the same catalogue entry at the same time
+/// from the same revision. If both changes were accepted, one would be lost silently, or instances
+/// would apply different ones and answer callers differently. One change must be rejected, and all
+/// instances must apply the other.
 #[test]
-fn racing_operators() {
-    let fleet = Fleet::start(layout(User::Bagmati, 3));
-    let watch = Watch::start(&fleet);
+fn one_of_two_concurrent_changes_is_rejected() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 3));
+    let monitor = StatusMonitor::start(&fleet);
     let mut head = fleet.publish(Vec::new());
-    for race in 0..RACES {
+    for race in 0..RACE_COUNT {
         head += 1;
         let names = [format!("left-{race}"), format!("right-{race}")];
-        let statuses = names.clone().map(|name| publish(&fleet, head, &name));
-        let statuses = statuses.map(|operator| operator.join().expect("an operator goes on"));
+        let statuses = names.clone().map(|name| spawn_publish(&fleet, head, &name));
+        let statuses =
+            statuses.map(|operator| operator.join().expect("the publishing thread does not panic"));
         let mut sorted = statuses;
         sorted.sort_unstable();
-        assert_eq!(sorted, [200, 409], "one is accepted, the other told");
-        let winner = usize::from(statuses[1] == 200);
-        fleet.until_in_force(head);
-        for at in fleet.running() {
-            let key = format!("race-{race}-{at}");
-            let won = ask(&fleet.door(at), report(&names[winner], &key));
-            won.check_complete(&fleet.index("report-desk"));
-            let lost = ask(&fleet.door(at), report(&names[1 - winner], &key));
-            assert_eq!(lost.answer().reason(), Reason::UnknownOperation);
+        assert_eq!(sorted, [200, 409], "one change is accepted, the other rejected");
+        let accepted = usize::from(statuses[1] == 200);
+        fleet.wait_for_revision(head);
+        for instance in fleet.running_instances() {
+            let key = format!("race-{race}-{instance}");
+            let accepted_answer = send_request(
+                &fleet.caller_address(instance),
+                report_desk_request(&names[accepted], &key),
+            );
+            accepted_answer.check_complete(&fleet.published_index("report-desk"));
+            let rejected_answer = send_request(
+                &fleet.caller_address(instance),
+                report_desk_request(&names[1 - accepted], &key),
+            );
+            assert_eq!(rejected_answer.answer().reason(), Reason::UnknownOperation);
         }
     }
-    watch.finish();
+    monitor.stop_and_collect();
 }
 
-/// Publishes an entry under a revision of the operator's own; gives the status of the answer.
-fn publish(fleet: &Fleet, revision: u64, operation: &str) -> thread::JoinHandle<u16> {
-    let body = Some(Body::Entry(fleet.entry("report-desk", operation)));
+/// Publishes a catalogue entry under a given revision from its own thread; the thread returns the
+/// HTTP status.
+fn spawn_publish(fleet: &Fleet, revision: u64, operation: &str) -> thread::JoinHandle<u16> {
+    let body = Some(Body::Entry(fleet.entry_with_operation("report-desk", operation)));
     let page = Page { head: 0, records: vec![Record { revision, body }], ..Page::default() };
     let address = fleet.run.platform_address.clone();
     thread::spawn(move || {
         let response = http::post(&address, "/admin/publish", &page);
-        response.expect("the platform answers").status
+        response.expect("the platform replies").status
     })
 }
 
-/// An operator publishes a page in which one entry has a mistake. Callers of the other services
-/// would miss their changes, or the service of the bad entry would stop. The bad entry is refused
-/// alone and its reason shown on every instance; the last good one stays in force.
+/// Guards against one invalid catalogue entry blocking others. An operator publishes a page in
+/// which one entry is invalid; other services could miss their changes, or the service of the
+/// invalid entry could stop. Only the invalid entry must be refused, every instance must report the
+/// reason, and the last valid entry of that service must stay in force.
 #[test]
-fn bad_entry_among_good_ones() {
-    let fleet = Fleet::start(layout(User::Bagmati, 3));
-    let changed = |service, operation| Entry {
+fn invalid_entry_does_not_block_valid_entries() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 3));
+    let changed_entry = |service, operation| Entry {
         owner: "another-owner".to_owned(),
-        ..fleet.entry(service, operation)
+        ..fleet.entry_with_operation(service, operation)
     };
-    let mut bad = fleet.entry("report-desk", "mistaken");
+    let mut bad = fleet.entry_with_operation("report-desk", "mistaken");
     bad.operations[0].deadline_ms = 0;
     let (good, last) =
-        (changed("member-portal", "added"), changed("counter-desk-01", "eligibility"));
+        (changed_entry("member-portal", "added"), changed_entry("counter-desk-01", "eligibility"));
     let head = fleet.publish([good, bad, last].map(Body::Entry).into());
-    fleet.until_in_force(head);
-    for at in fleet.running() {
-        let refused = fleet.view(at).refused;
+    fleet.wait_for_revision(head);
+    for instance in fleet.running_instances() {
+        let refused = fleet.expect_status(instance).refused;
         assert_eq!(refused.len(), 1, "{refused:?}");
         assert_eq!((refused[0].name.as_str(), refused[0].revision), ("report-desk", head - 1));
         assert!(refused[0].detail.contains("deadline_ms: 0 is outside 1 to 60000"), "{refused:?}");
-        let kept = ask(&fleet.door(at), report("report", &format!("kept-{at}")));
-        kept.check_complete(&fleet.index("report-desk"));
-        let added = report("added", &format!("added-{at}"));
+        let kept = send_request(
+            &fleet.caller_address(instance),
+            report_desk_request("report", &format!("kept-{instance}")),
+        );
+        kept.check_complete(&fleet.published_index("report-desk"));
+        let added = report_desk_request("added", &format!("added-{instance}"));
         let added = Request { index: "member-portal".to_owned(), ..added };
-        ask(&fleet.door(at), added).check_complete(&fleet.index("member-portal"));
+        send_request(&fleet.caller_address(instance), added)
+            .check_complete(&fleet.published_index("member-portal"));
     }
 }
--- a/tests/integration/decoders.rs
+++ b/tests/integration/decoders.rs
@@ -1,4 +1,5 @@
-//! Bytes from outside never end a process, and what is refused has not run.
+//! Property tests of the decoders: no input from outside crashes a process, and a refused request
+//! has not run.
 
 use std::sync::Arc;
 
@@ -17,12 +18,12 @@
 use sycamoreladder::link::inbound;
 use sycamoreladder::options::file;
 
-const RUNS: usize = 20_000;
+const INPUTS_PER_PROPERTY: usize = 20_000;
 const FLEET: &str = "porto";
 
 #[test]
 fn any_text_is_settings_or_a_clear_error() {
-    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
+    ladder_property::check(INPUTS_PER_PROPERTY).for_each(|bytes: &[u8]| {
         if let Err(error) = file::parse(&String::from_utf8_lossy(bytes)) {
             assert!(error.to_string().len() > 10);
         }
@@ -31,7 +32,7 @@
 
 #[test]
 fn any_body_is_a_request_or_is_refused_as_not_run() {
-    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
+    ladder_property::check(INPUTS_PER_PROPERTY).for_each(|bytes: &[u8]| {
         if let Err(answer) = native::decode(Ok(Bytes::copy_from_slice(bytes))) {
             assert_eq!(answer.verdict(), Verdict::NotRun);
             assert_eq!(answer.reason(), Reason::Malformed);
@@ -42,25 +43,31 @@
 
 #[test]
 fn any_response_of_a_target_has_an_outcome() {
-    ladder_property::check(RUNS).with_type::<(u16, Vec<u8>)>().for_each(|(code, body)| {
-        if let Ok(status) = awc::http::StatusCode::from_u16(*code) {
-            let outcome = native::outcome(status, body, "a1");
-            assert_ne!(outcome, leaf::event::Outcome::Unsent, "something was written");
-        }
-    });
+    ladder_property::check(INPUTS_PER_PROPERTY).with_type::<(u16, Vec<u8>)>().for_each(
+        |(code, body)| {
+            if let Ok(status) = awc::http::StatusCode::from_u16(*code) {
+                let outcome = native::outcome(status, body, "a1");
+                assert_ne!(
+                    outcome,
+                    leaf::event::Outcome::Unsent,
+                    "the request was written, so its outcome is not Unsent"
+                );
+            }
+        },
+    );
 }
 
 #[test]
-fn any_page_is_checked_record_by_record() {
-    ladder_property::check(RUNS).for_each(|bytes: &[u8]| {
+fn records_of_any_page_can_be_checked() {
+    ladder_property::check(INPUTS_PER_PROPERTY).for_each(|bytes: &[u8]| {
         for record in Page::decode(bytes).unwrap_or_default().records {
             let _ = check::record(&record);
         }
     });
 }
 
-/// A frame of this fleet with everything in it that a peer may say.
-fn frame() -> Frame {
+/// Valid frame of this fleet that uses the message kinds a peer can send.
+fn sample_frame() -> Frame {
     use ladder_schema::call::Part;
     use ladder_schema::wire::{
         Cancel, Crash, Digest, Incarnation, Portion, Probe, Quarantine, Reply,
@@ -104,29 +111,28 @@
     }
 }
 
-/// An instance dies of what a faulty or foreign peer sends it.
-///
-/// A frame is damaged on its way, or comes from another program; the instance decodes it and acts
-/// on it. Whatever still decodes must be taken by all three machines without harm.
+/// Guards against a faulty or foreign peer crashing an instance. A frame is damaged in transit or
+/// comes from another program. Each frame must either be refused with a reason, or be handled by
+/// all three state machines without a panic.
 #[test]
 fn damaged_frames_are_refused_or_harmless() {
-    let sound = frame().encode_to_vec();
-    let damage = ladder_property::check(4 * RUNS).with_type::<Vec<(u16, u8)>>();
-    damage.for_each(|places| {
-        let mut bytes = sound.clone();
-        for (place, value) in places {
-            let place = usize::from(*place) % bytes.len();
-            bytes[place] = *value;
+    let valid_bytes = sample_frame().encode_to_vec();
+    let property = ladder_property::check(4 * INPUTS_PER_PROPERTY).with_type::<Vec<(u16, u8)>>();
+    property.for_each(|changes| {
+        let mut bytes = valid_bytes.clone();
+        for (position, value) in changes {
+            let position = usize::from(*position) % bytes.len();
+            bytes[position] = *value;
         }
         match inbound::decode(&bytes, FLEET) {
-            Ok(frame) => take(frame),
+            Ok(frame) => handle_in_all_machines(frame),
             Err(reason) => assert_ne!(reason, Reason::Unspecified),
         }
     });
 }
 
-/// Hands a frame's parts to fresh machines.
-fn take(frame: Frame) {
+/// Passes the parts of a frame to new dispatch, gather and control machines.
+fn handle_in_all_machines(frame: Frame) {
     let now = Instant::from_millis(10);
     let from = Peer { name: frame.from.as_str().into(), address: frame.address.as_str().into() };
     let mut leaf = leaf::Machine::new(leaf::Settings::builder("porto-1", 1).build());
@@ -143,19 +149,19 @@
     control.handle(now, control::Event::Frame(Box::new(frame)), &mut Vec::new());
 }
 
-/// A change of a frame and the reason of its refusal.
-struct Foreign(fn(&mut Frame), Reason);
+/// Change that makes a valid frame unacceptable, and the reason with which the frame is refused.
+struct RejectedFrame(fn(&mut Frame), Reason);
 
 #[test]
-fn frames_of_others_are_refused_with_their_reason() {
+fn foreign_frames_are_refused_with_a_reason() {
     let cases = [
-        Foreign(|frame| frame.fleet = "bagmati".into(), Reason::ForeignFleet),
-        Foreign(|frame| frame.protocol += 1, Reason::WrongProtocol),
-        Foreign(|frame| frame.from.clear(), Reason::PeerMalformed),
-        Foreign(|frame| frame.zone = "z".repeat(bounds::FRAME_BYTES), Reason::TooLarge),
+        RejectedFrame(|frame| frame.fleet = "bagmati".into(), Reason::ForeignFleet),
+        RejectedFrame(|frame| frame.protocol += 1, Reason::WrongProtocol),
+        RejectedFrame(|frame| frame.from.clear(), Reason::PeerMalformed),
+        RejectedFrame(|frame| frame.zone = "z".repeat(bounds::FRAME_BYTES), Reason::TooLarge),
     ];
-    for Foreign(change, reason) in cases {
-        let mut frame = frame();
+    for RejectedFrame(change, reason) in cases {
+        let mut frame = sample_frame();
         change(&mut frame);
         assert_eq!(inbound::decode(&frame.encode_to_vec(), FLEET).err(), Some(reason));
     }
--- a/tests/integration/fleet/child.rs
+++ b/tests/integration/fleet/child.rs
@@ -1,4 +1,4 @@
-//! Processes that a test starts, signals and ends.
+//! Child processes that a test starts, signals and kills.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
@@ -6,15 +6,15 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// One process; it is killed when dropped.
+/// A child process, killed when dropped.
 pub(crate) struct Child {
     process: Process,
     log: PathBuf,
 }
 
 impl Child {
-    /// Starts `program` with its settings file as the only argument; its output goes to a file
-    /// beside that.
+    /// Starts `program` with its settings file as the only argument. Standard output and error are
+    /// appended to a log file beside the settings file.
     pub(crate) fn start(program: &Path, settings: &Path) -> Self {
         assert!(
             program.is_file(),
@@ -33,31 +33,31 @@
         Self { process, log }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub(crate) fn signal(&self, signal: Signal) {
         let id = i32::try_from(self.process.id()).expect("a process id");
         let pid = Pid::from_raw(id).expect("a process id above 0");
-        kill_process(pid, signal).expect("the process is there");
+        kill_process(pid, signal).expect("the process exists");
     }
 
-    /// Kills it and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// How it ended, if it has.
-    pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
-        self.process.try_wait().expect("the process is a child")
+    /// Exit status of the process; `None` while it runs.
+    pub(crate) fn exit_status(&mut self) -> Option<ExitStatus> {
+        self.process.try_wait().expect("the status of a child process can be read")
     }
 
-    /// Whether it wrote a line with this in it.
-    pub(crate) fn logged(&self, text: &str) -> bool {
+    /// Returns whether the log of the process contains `text`.
+    pub(crate) fn log_contains(&self, text: &str) -> bool {
         fs::read_to_string(&self.log).is_ok_and(|log| log.contains(text))
     }
 
-    /// The end of what it wrote.
-    pub(crate) fn tail(&self) -> String {
+    /// Last 20 lines of the log of the process.
+    pub(crate) fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
         lines[lines.len().saturating_sub(20)..].join("\n")
--- a/tests/integration/fleet/outside.rs
+++ b/tests/integration/fleet/outside.rs
@@ -1,100 +1,115 @@
-//! The platform and the targets of a run: what they publish, their failures.
+//! Controls the platform and the targets of a fleet: published records and injected faults.
 
 use ladder_schema::catalogue::Entry;
 use ladder_schema::publication::record::Body;
 use ladder_schema::publication::{Index, Page, Record, Server};
 use ladder_schema::standin::{Fault, Mode};
 
-use super::{Fleet, http, start, until};
+use super::{Fleet, http, start_binary, wait_until};
 
 impl Fleet {
-    /// Starts the platform anew: it serves what was published at the start, as a replica restored
-    /// from an old copy would.
+    /// Restarts the platform with the records published at the start, like a replica restored from
+    /// an old copy.
     pub(crate) fn restart_platform(&mut self) {
         self.platform.kill();
         let settings = self.folder.join(&self.run.platform_file);
-        self.platform = start("standin-platform", &settings);
-        until("the platform answers again", || {
+        self.platform = start_binary("standin-platform", &settings);
+        wait_until("the restarted platform replies", || {
             http::get(&self.run.platform_address, "/admin/counts").is_ok()
         });
     }
 
-    /// Sets the platform's failure.
-    pub(crate) fn mode(&self, mode: Mode) {
-        self.posted(&self.run.platform_address, "/admin/mode", &mode);
+    /// Sets the fault mode of the platform, replacing the current one.
+    pub(crate) fn set_platform_mode(&self, mode: Mode) {
+        self.post_json(&self.run.platform_address, "/admin/mode", &mode);
     }
 
-    /// Publishes bodies in order, with the next revisions; gives the highest.
+    /// Publishes records in order under the next revisions and returns the highest of these
+    /// revisions.
     pub(crate) fn publish(&self, bodies: Vec<Body>) -> u64 {
         let records = bodies.into_iter().map(|body| Record { revision: 0, body: Some(body) });
         let page = Page { head: 0, records: records.collect(), ..Page::default() };
-        self.posted(&self.run.platform_address, "/admin/publish", &page).json::<Page>().head
+        self.post_json(&self.run.platform_address, "/admin/publish", &page).json::<Page>().head
     }
 
-    /// Replaces the faults of a server.
-    pub(crate) fn fault(&self, server: &str, fault: &Fault) {
-        self.posted(self.admin_of(server), &format!("/admin/fault?server={server}"), fault);
+    /// Replaces the injected faults of a server.
+    pub(crate) fn set_fault(&self, server: &str, fault: &Fault) {
+        self.post_json(
+            self.admin_address_of(server),
+            &format!("/admin/fault?server={server}"),
+            fault,
+        );
     }
 
-    /// Operators' address of the process of a server.
-    pub(crate) fn admin_of(&self, server: &str) -> &str {
+    /// Admin address of the target process that runs a server.
+    pub(crate) fn admin_address_of(&self, server: &str) -> &str {
         let mut processes = self.run.targets.iter();
         let process = processes.find(|process| process.servers.iter().any(|name| name == server));
-        &process.expect("a process has the server").admin_address
+        &process.expect("a target process runs the server").admin_address
     }
 
-    /// Makes all servers of a service take requests without answering, or ends that.
-    pub(crate) fn silence(&self, service: &str, silent: bool) {
+    /// Makes all servers of a service accept requests without replying, or restores them.
+    pub(crate) fn set_silent(&self, service: &str, silent: bool) {
         for server in self.servers_of(service) {
-            self.fault(&server.name, &Fault { silent, ..Fault::default() });
+            self.set_fault(&server.name, &Fault { silent, ..Fault::default() });
         }
     }
 
-    /// What was published at the start, of one kind.
-    fn published<'a, T>(&'a self, of: fn(&'a Body) -> Option<T>) -> impl Iterator<Item = T> {
-        self.published.iter().flat_map(|record| &record.body).filter_map(of)
+    /// Bodies of the records published at the start that `select` returns a value for.
+    fn published_bodies<'a, T>(
+        &'a self,
+        select: fn(&'a Body) -> Option<T>,
+    ) -> impl Iterator<Item = T> {
+        self.published.iter().flat_map(|record| &record.body).filter_map(select)
     }
 
-    /// The servers as published at the start.
-    pub(crate) fn servers(&self) -> impl Iterator<Item = &Server> {
-        self.published(|body| if let Body::Server(server) = body { Some(server) } else { None })
+    /// Servers as published at the start.
+    pub(crate) fn published_servers(&self) -> impl Iterator<Item = &Server> {
+        self.published_bodies(
+            |body| if let Body::Server(server) = body { Some(server) } else { None },
+        )
     }
 
-    /// The servers of a service as published at the start.
+    /// Servers of a service as published at the start.
     pub(crate) fn servers_of(&self, service: &str) -> impl Iterator<Item = &Server> {
-        self.servers().filter(move |server| server.service == service)
+        self.published_servers().filter(move |server| server.service == service)
     }
 
-    /// An index as published at the start.
-    pub(crate) fn index(&self, name: &str) -> Index {
+    /// Index as published at the start.
+    pub(crate) fn published_index(&self, name: &str) -> Index {
         let mut indexes =
-            self.published(|body| if let Body::Index(index) = body { Some(index) } else { None });
+            self.published_bodies(
+                |body| if let Body::Index(index) = body { Some(index) } else { None },
+            );
         indexes.find(|index| index.name == name).expect("the index is published").clone()
     }
 
-    /// The entry of a service as published at the start.
-    fn entry_of(&self, service: &str) -> &Entry {
+    /// Catalogue entry of a service as published at the start.
+    fn published_entry(&self, service: &str) -> &Entry {
         let mut entries =
-            self.published(|body| if let Body::Entry(entry) = body { Some(entry) } else { None });
+            self.published_bodies(
+                |body| if let Body::Entry(entry) = body { Some(entry) } else { None },
+            );
         entries.find(|entry| entry.service == service).expect("the entry is published")
     }
 
-    /// Limit on connections to each server in a service's entry; 0: none.
-    pub(crate) fn connections(&self, service: &str) -> u32 {
-        self.entry_of(service).limits.map_or(0, |limits| limits.connections)
+    /// Limit on connections to each server in the catalogue entry of a service; 0 if there is none.
+    pub(crate) fn connection_limit(&self, service: &str) -> u32 {
+        self.published_entry(service).limits.map_or(0, |limits| limits.connections)
     }
 
-    /// An entry as published at the start, but with a single repeatable operation of this name.
-    pub(crate) fn entry(&self, service: &str, operation: &str) -> Entry {
-        let mut entry = self.entry_of(service).clone();
+    /// Catalogue entry of a service as published at the start, but with a single idempotent
+    /// operation named `operation`.
+    pub(crate) fn entry_with_operation(&self, service: &str, operation: &str) -> Entry {
+        let mut entry = self.published_entry(service).clone();
         entry.operations.truncate(1);
         entry.operations[0].name = operation.to_owned();
         entry
     }
 
-    /// Names of the shards of an index, which at the start are those of its services.
-    pub(crate) fn shards(&self, index: &str) -> Vec<String> {
-        let shards = self.index(index).shards.into_iter();
+    /// Names of the shards of an index; at the start each shard has the name of its service.
+    pub(crate) fn shard_names(&self, index: &str) -> Vec<String> {
+        let shards = self.published_index(index).shards.into_iter();
         shards.map(|shard| shard.name).collect()
     }
 }
--- a/tests/integration/fleet/turn.rs
+++ b/tests/integration/fleet/turn.rs
@@ -1,29 +1,29 @@
-//! Keeps the number of fleets that run at once low.
+//! Limits the number of fleets that run at the same time.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Fleets at once.
-const MOST: usize = 2;
+/// Highest number of fleets that run at the same time in this test process.
+const MAX_FLEETS: usize = 2;
 
-static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static RUNNING_FLEETS: Mutex<usize> = Mutex::new(0);
+static FLEET_ENDED: Condvar = Condvar::new();
 
-/// The right to run a fleet until it is dropped.
-pub(crate) struct Turn(());
+/// Permit to run one fleet; dropping it lets a waiting test start its fleet.
+pub(crate) struct FleetPermit(());
 
-impl Turn {
-    /// Waits for a turn.
-    pub(crate) fn take() -> Self {
-        let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
-        let running = ENDED.wait_while(running, |running| *running >= MOST);
+impl FleetPermit {
+    /// Waits until fewer than [`MAX_FLEETS`] fleets run, then takes a permit.
+    pub(crate) fn acquire() -> Self {
+        let running = RUNNING_FLEETS.lock().unwrap_or_else(PoisonError::into_inner);
+        let running = FLEET_ENDED.wait_while(running, |running| *running >= MAX_FLEETS);
         *running.unwrap_or_else(PoisonError::into_inner) += 1;
         Self(())
     }
 }
 
-impl Drop for Turn {
+impl Drop for FleetPermit {
     fn drop(&mut self) {
-        *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        *RUNNING_FLEETS.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
+        FLEET_ENDED.notify_one();
     }
 }
--- a/tests/integration/fleet/watch.rs
+++ b/tests/integration/fleet/watch.rs
@@ -1,4 +1,5 @@
-//! Looks at the instances' status all the time, so that nothing is seen to go back in between.
+//! Polls the status of the instances throughout a test, so that a temporary decrease of a revision
+//! is detected too.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,66 +11,72 @@
 
 use super::{Fleet, http};
 
-/// Between two looks at an instance.
-const PERIOD: Duration = Duration::from_millis(25);
+/// Time between two status requests to an instance.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Watches all instances of a fleet.
-pub(crate) struct Watch {
+/// Threads that poll the status of all instances of a fleet.
+pub(crate) struct StatusMonitor {
     stop: Arc<AtomicBool>,
-    watchers: Vec<JoinHandle<Vec<Instance>>>,
+    pollers: Vec<JoinHandle<Vec<Instance>>>,
 }
 
-impl Watch {
-    /// Starts to look.
+impl StatusMonitor {
+    /// Starts one polling thread for each instance.
     pub(crate) fn start(fleet: &Fleet) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let addresses = fleet.run.instances.iter().map(|member| &member.admin_address);
-        let watchers = addresses.cloned().map(|address| {
+        let pollers = addresses.cloned().map(|address| {
             let stop = Arc::clone(&stop);
-            thread::spawn(move || look(&address, &stop))
+            thread::spawn(move || poll_status(&address, &stop))
         });
-        let watchers = watchers.collect();
-        Self { stop, watchers }
+        let pollers = pollers.collect();
+        Self { stop, pollers }
     }
 
-    /// Stops; checks that nothing went back; gives what was seen of each instance in order of time.
-    pub(crate) fn finish(self) -> Vec<Vec<Instance>> {
+    /// Stops polling, checks that no revision decreased and returns the statuses of each instance
+    /// in order of time.
+    pub(crate) fn stop_and_collect(self) -> Vec<Vec<Instance>> {
         self.stop.store(true, Ordering::Relaxed);
-        let seen = self.watchers.into_iter().map(|watcher| {
-            let seen = watcher.join().expect("the watcher goes on");
-            check_never_back(&seen);
-            seen
+        let statuses = self.pollers.into_iter().map(|poller| {
+            let statuses = poller.join().expect("the polling thread does not panic");
+            check_revisions_never_decrease(&statuses);
+            statuses
         });
-        seen.collect()
+        statuses.collect()
     }
 }
 
-fn look(address: &str, stop: &AtomicBool) -> Vec<Instance> {
-    let mut seen = Vec::new();
+fn poll_status(address: &str, stop: &AtomicBool) -> Vec<Instance> {
+    let mut statuses = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         if let Ok(response) = http::get(address, "/status") {
-            seen.push(response.json());
+            statuses.push(response.json());
         }
-        thread::sleep(PERIOD);
+        thread::sleep(POLL_INTERVAL);
     }
-    seen
+    statuses
 }
 
-/// No instance's revision, nor that of any entry, went back while the process lived.
-fn check_never_back(seen: &[Instance]) {
-    for pair in seen.windows(2) {
+/// Checks that neither the revision of an instance nor that of any catalogue entry decreased during
+/// one life of the process.
+fn check_revisions_never_decrease(statuses: &[Instance]) {
+    for pair in statuses.windows(2) {
         let (before, after) = (&pair[0], &pair[1]);
         if before.incarnation != after.incarnation {
             continue;
         }
-        let (name, was, is) = (&after.name, before.revision, after.revision);
-        assert!(is >= was, "{name} went back from revision {was} to {is}");
+        let (name, previous, current) = (&after.name, before.revision, after.revision);
+        assert!(current >= previous, "{name}: the revision decreased from {previous} to {current}");
         let services = after.services.iter();
-        let entries: Map<&str, u64> = services.map(|s| (s.name.as_str(), s.revision)).collect();
+        let entry_revisions: Map<&str, u64> =
+            services.map(|s| (s.name.as_str(), s.revision)).collect();
         for service in &before.services {
-            let is = entries.get(service.name.as_str()).copied().unwrap_or(0);
-            let (entry, was) = (&service.name, service.revision);
-            assert!(is >= was, "{name}: the entry {entry} went back from revision {was} to {is}");
+            let current = entry_revisions.get(service.name.as_str()).copied().unwrap_or(0);
+            let (entry, previous) = (&service.name, service.revision);
+            assert!(
+                current >= previous,
+                "{name}: the revision of the entry {entry} decreased from {previous} to {current}"
+            );
         }
     }
 }
--- a/tests/integration/leaving.rs
+++ b/tests/integration/leaving.rs
@@ -1,4 +1,4 @@
-//! Targets leave.
+//! Servers that leave: no new work may be sent to them.
 
 use ladder_schema::publication::record::Body;
 use ladder_schema::publication::{Server, State};
@@ -6,86 +6,97 @@
 use ladder_standin::layout::user::User;
 
 use crate::fleet::call::BAGMATI;
-use crate::fleet::load::Load;
-use crate::fleet::{Fleet, layout, until};
+use crate::fleet::load::CallerLoad;
+use crate::fleet::{Fleet, small_layout, wait_until};
 
-/// Answers after which the last request before the departure is through, at least.
-const ANSWERS: usize = 150;
+/// Number of answers to wait for, enough for every request sent before the departure to be
+/// finished.
+const ANSWERS_UNTIL_DRAINED: usize = 150;
 
-/// A server of the first service.
-fn first(fleet: &Fleet) -> Server {
-    let service = &fleet.index(BAGMATI.index).shards[0].service;
+/// A server of the first service of the index.
+fn first_server(fleet: &Fleet) -> Server {
+    let service = &fleet.published_index(BAGMATI.index).shards[0].service;
     fleet.servers_of(service).next().expect("the service has servers").clone()
 }
 
-/// Waits until no new request starts at the server while callers go on.
-fn until_quiet(fleet: &Fleet, server: &Server, load: &Load) {
-    let mut last = fleet.calls(&server.name);
-    until("no new request starts at the server", || {
-        load.until_more(ANSWERS);
-        let now = fleet.calls(&server.name);
-        std::mem::replace(&mut last, now) == now
+/// Waits until no new request starts at the server while callers continue to send requests.
+fn wait_until_no_new_requests(fleet: &Fleet, server: &Server, load: &CallerLoad) {
+    let mut last_count = fleet.started_requests(&server.name);
+    wait_until("no new request starts at the server", || {
+        load.wait_for_answers(ANSWERS_UNTIL_DRAINED);
+        let count = fleet.started_requests(&server.name);
+        std::mem::replace(&mut last_count, count) == count
     });
 }
 
-/// All sweeps were answered whole.
-fn check_complete(fleet: &Fleet, load: Load) {
-    let index = fleet.index(BAGMATI.index);
-    for exchange in load.finish() {
+/// Checks that all sweeps were answered completely.
+fn check_sweeps_complete(fleet: &Fleet, load: CallerLoad) {
+    let index = fleet.published_index(BAGMATI.index);
+    for exchange in load.stop_and_collect() {
         exchange.check_complete(&index);
     }
 }
 
-/// The platform lists a target as leaving, so that its machine can go. Two of the instances cannot
-/// reach the platform. Requests that they went on sending would be cut with the machine. After a
-/// few seconds none of them sends it any more work, and sweeps stay whole by the other replica.
+/// Guards against sending work to a server whose machine is about to be removed. The platform
+/// publishes the server as leaving, and two of the four instances cannot reach the platform. After
+/// a few seconds no instance may send new work to the server, and sweeps must stay complete through
+/// the other replica.
 #[test]
-fn leaving_by_the_list() {
-    let fleet = Fleet::start_edited(layout(User::Bagmati, 4), &[2, 3], |_| {});
-    let mut server = first(&fleet);
-    let load = Load::sweeps("list", &fleet.doors(), 6);
-    load.until_more(ANSWERS);
-    assert!(fleet.calls(&server.name) > 0, "it had work before");
+fn server_published_as_leaving_gets_no_new_work() {
+    let fleet = Fleet::start_with(small_layout(User::Bagmati, 4), &[2, 3], |_| {});
+    let mut server = first_server(&fleet);
+    let load = CallerLoad::start_sweeps("list", &fleet.caller_addresses(), 6);
+    load.wait_for_answers(ANSWERS_UNTIL_DRAINED);
+    assert!(fleet.started_requests(&server.name) > 0, "the server had work before it left");
     server.set_state(State::Leaving);
-    let changed = fleet.publish(vec![Body::Server(server.clone())]);
-    fleet.until_in_force(changed);
-    until_quiet(&fleet, &server, &load);
-    let before = fleet.calls(&server.name);
-    load.until_more(2 * ANSWERS);
-    assert_eq!(fleet.calls(&server.name), before, "new work at a leaving server");
-    check_complete(&fleet, load);
+    let changed_revision = fleet.publish(vec![Body::Server(server.clone())]);
+    fleet.wait_for_revision(changed_revision);
+    wait_until_no_new_requests(&fleet, &server, &load);
+    let started_before = fleet.started_requests(&server.name);
+    load.wait_for_answers(2 * ANSWERS_UNTIL_DRAINED);
+    assert_eq!(
+        fleet.started_requests(&server.name),
+        started_before,
+        "a leaving server started new work"
+    );
+    check_sweeps_complete(&fleet, load);
 }
 
-/// A target says itself that it leaves, to those who ask it, while the platform is down; then it
-/// takes requests again, as one does whose drain was begun too early. Only the owner of its service
-/// has heard it. When the owner's machine is taken away too, its successors would send new work.
-/// They do not, until the target starts anew.
+/// Guards against losing the knowledge that a server leaves. While the platform is down, the server
+/// reports in its load replies that it is leaving, and later accepts requests again, as after a
+/// drain that was started too early. Only the owner of its service has received the report; then
+/// the owner is killed. Its successors must send no new work to the server until the server has a
+/// new incarnation.
 #[test]
-fn leaving_by_its_own_word() {
-    let mut fleet = Fleet::start(layout(User::Bagmati, 4));
-    let mut server = first(&fleet);
+fn server_reporting_leaving_gets_no_new_work_after_owner_is_lost() {
+    let mut fleet = Fleet::start(small_layout(User::Bagmati, 4));
+    let mut server = first_server(&fleet);
     let owner = fleet.owner(&server.service);
-    let before = Load::sweeps("before", &fleet.doors(), 6);
-    before.until_more(ANSWERS);
-    assert!(fleet.calls(&server.name) > 0, "it had work before");
-    fleet.mode(Mode { down: true, ..Mode::default() });
-    fleet.fault(&server.name, &Fault { leaving: true, ..Fault::default() });
-    before.until_more(3 * ANSWERS);
-    check_complete(&fleet, before);
-    fleet.fault(&server.name, &Fault::default());
-    let quiet = fleet.calls(&server.name);
+    let load_before = CallerLoad::start_sweeps("before", &fleet.caller_addresses(), 6);
+    load_before.wait_for_answers(ANSWERS_UNTIL_DRAINED);
+    assert!(fleet.started_requests(&server.name) > 0, "the server had work before it left");
+    fleet.set_platform_mode(Mode { down: true, ..Mode::default() });
+    fleet.set_fault(&server.name, &Fault { leaving: true, ..Fault::default() });
+    load_before.wait_for_answers(3 * ANSWERS_UNTIL_DRAINED);
+    check_sweeps_complete(&fleet, load_before);
+    fleet.set_fault(&server.name, &Fault::default());
+    let started_before = fleet.started_requests(&server.name);
     fleet.kill(owner);
-    let after = Load::sweeps("after", &fleet.doors(), 6);
-    after.until_more(3 * ANSWERS);
+    let load_after = CallerLoad::start_sweeps("after", &fleet.caller_addresses(), 6);
+    load_after.wait_for_answers(3 * ANSWERS_UNTIL_DRAINED);
     assert_ne!(fleet.owner(&server.service), owner);
-    assert_eq!(fleet.calls(&server.name), quiet, "new work at a leaving server");
-    fleet.mode(Mode::default());
+    assert_eq!(
+        fleet.started_requests(&server.name),
+        started_before,
+        "a leaving server started new work"
+    );
+    fleet.set_platform_mode(Mode::default());
     server.incarnation += 1;
-    let changed = fleet.publish(vec![Body::Server(server.clone())]);
-    fleet.until_in_force(changed);
-    until("a new incarnation has work again", || {
-        after.until_more(10);
-        fleet.calls(&server.name) > quiet
+    let changed_revision = fleet.publish(vec![Body::Server(server.clone())]);
+    fleet.wait_for_revision(changed_revision);
+    wait_until("the new incarnation of the server gets work", || {
+        load_after.wait_for_answers(10);
+        fleet.started_requests(&server.name) > started_before
     });
-    check_complete(&fleet, after);
+    check_sweeps_complete(&fleet, load_after);
 }
--- a/tests/integration/link.rs
+++ b/tests/integration/link.rs
@@ -1,4 +1,4 @@
-//! Connections between instances.
+//! Tests of the connections between instances.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,28 +12,28 @@
 use sycamoreladder::link::{Cut, Identity, Outbound};
 use sycamoreladder::metrics::Metrics;
 
-/// Longest wait for anything.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// What a receiving socket says of itself when a connection opens.
-const GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
+/// Longest wait for the expected number of connections.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Protocol header that a receiving (pull) socket of the nng library sends when a connection opens.
+const RECEIVER_HANDSHAKE: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
 
-/// A peer that takes connections and frames, and never says anything.
-struct Peer {
+/// Peer that accepts connections and reads frames but sends nothing after the handshake.
+struct StubPeer {
     address: String,
-    /// Connections so far.
+    /// Number of connections accepted so far.
     connections: Arc<AtomicUsize>,
 }
 
-impl Peer {
+impl StubPeer {
     fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the listener has an address").to_string();
         let connections = Arc::new(AtomicUsize::new(0));
         let counter = Arc::clone(&connections);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 counter.fetch_add(1, Ordering::Relaxed);
-                thread::spawn(move || swallow(stream));
+                thread::spawn(move || discard_input(stream));
             }
         });
         Self { address, connections }
@@ -44,13 +44,13 @@
     }
 }
 
-fn swallow(mut stream: TcpStream) {
-    let _ = stream.write_all(&GREETING);
+fn discard_input(mut stream: TcpStream) {
+    let _ = stream.write_all(&RECEIVER_HANDSHAKE);
     let mut buffer = [0; 1024];
     while matches!(stream.read(&mut buffer), Ok(1..)) {}
 }
 
-fn link() -> Outbound {
+fn outbound_link() -> Outbound {
     let identity = Identity {
         fleet: "porto".to_owned(),
         name: "entry-1".to_owned(),
@@ -58,34 +58,35 @@
         address: "127.0.0.1:1".to_owned(),
         zone: "trindade".to_owned(),
     };
-    let metrics = Metrics::new().expect("instruments");
+    let metrics = Metrics::new().expect("the metrics can be created");
     Outbound::new(identity, Clock::new(), metrics, Cut::default(), Arc::new(|_| {}))
 }
 
-fn probe(number: u64) -> Frame {
+fn probe_frame(number: u64) -> Frame {
     Frame { probes: vec![Probe { number }], ..Frame::default() }
 }
 
-/// A connection between two instances goes silent: neither end is told, and nothing that is sent on it
-/// arrives. The frames were taken by the system for a quarter of an hour, so that each held the other dead
-/// and asked it again and again on the same connection. A peer that is asked and not heard of is dialled
-/// anew; one that answers keeps its connection.
+/// Guards against staying on a connection between two instances that fails silently: neither end is
+/// notified, and nothing sent on it arrives. The operating system accepted the frames for a quarter
+/// of an hour, so both instances considered each other dead and kept probing on the same
+/// connection. A peer that is probed and sends nothing must be reconnected; a peer that replies
+/// must keep its connection.
 #[test]
-fn silent_connection_is_dialled_anew() {
-    let (silent, link) = (Peer::start(), link());
-    let begun = Instant::now();
+fn connection_without_replies_is_replaced() {
+    let (silent, outbound) = (StubPeer::start(), outbound_link());
+    let started = Instant::now();
     let mut number = 0;
     while silent.connections() < 2 {
-        assert!(begun.elapsed() < PATIENCE, "it is dialled anew");
+        assert!(started.elapsed() < TIMEOUT, "the silent peer gets no second connection");
         number += 1;
-        link.send(&silent.address, probe(number));
+        outbound.send(&silent.address, probe_frame(number));
         thread::sleep(Duration::from_millis(50));
     }
-    let answering = Peer::start();
+    let answering = StubPeer::start();
     for number in 0..60 {
-        link.send(&answering.address, probe(number));
-        link.heard(&answering.address);
+        outbound.send(&answering.address, probe_frame(number));
+        outbound.heard(&answering.address);
         thread::sleep(Duration::from_millis(50));
     }
-    assert_eq!(answering.connections(), 1, "it answers all the while");
+    assert_eq!(answering.connections(), 1, "a peer that replies keeps its connection");
 }
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the processes and of what joins them.
+//! Integration tests: real processes of the platform, targets and instances, and the code that
+//! connects them.
 
 mod catalogue;
 mod crash;
--- a/tests/integration/partition.rs
+++ b/tests/integration/partition.rs
@@ -1,75 +1,90 @@
-//! The links between two groups of instances are cut, and mended.
+//! Network partition between two groups of instances, and its repair.
 
 use ladder_schema::publication::record::Body;
 use ladder_standin::layout::user::User;
 
-use crate::fleet::call::{BAGMATI, ask, report};
-use crate::fleet::load::Load;
-use crate::fleet::watch::Watch;
-use crate::fleet::{Fleet, alive, layout, until};
+use crate::fleet::call::{BAGMATI, report_desk_request, send_request};
+use crate::fleet::load::CallerLoad;
+use crate::fleet::watch::StatusMonitor;
+use crate::fleet::{Fleet, alive_count, small_layout, wait_until};
 
-/// The two sides; the second one never reaches the platform.
+/// Numbers of the instances on the two sides of the partition; those of the second side never reach
+/// the platform.
 const SIDES: [&[usize]; 2] = [&[0, 1], &[2, 3]];
 
-/// Connections to each server in the sum: fewer than two owners would like to have.
-const CONNECTIONS: u32 = 5;
+/// Limit on all connections to one server, lower than the number that two owners together would
+/// open.
+const CONNECTION_LIMIT: u32 = 5;
 
-/// Waits until both sides hold each other dead.
-fn until_split(fleet: &Fleet) {
-    until("both sides hold each other dead", || {
-        SIDES.iter().all(|side| side.iter().all(|&at| alive(&fleet.view(at)) == side.len()))
+/// Waits until each side of the partition considers the other dead.
+fn wait_until_partitioned(fleet: &Fleet) {
+    wait_until("both sides consider each other dead", || {
+        SIDES.iter().all(|side| {
+            side.iter().all(|&instance| alive_count(&fleet.expect_status(instance)) == side.len())
+        })
     });
 }
 
-/// A switch between two zones fails; each part of the fleet holds the other dead and serves on by
-/// itself, with two owners for every service. Targets would be swamped with connections and a
-/// payout be looked up on both sides. An operator changes the catalogue while only one side can
-/// read it. When the links mend, the change is in force everywhere and nothing has gone back.
+/// Guards against failures during a network partition between two zones. Each side considers the
+/// other dead and continues to serve, so every service has two owners: they could open too many
+/// connections to the servers, or run a booking on both sides. An operator changes the catalogue
+/// while only one side can read it. After the links are restored, the change must be in force on
+/// every instance, and no revision may have decreased.
 #[test]
-fn split_fleet() {
-    let fleet = Fleet::start_edited(layout(User::Bagmati, 4), SIDES[1], |entry| {
-        entry.limits.get_or_insert_default().connections = CONNECTIONS;
+fn partitioned_fleet_keeps_serving_and_applies_changes_after_repair() {
+    let fleet = Fleet::start_with(small_layout(User::Bagmati, 4), SIDES[1], |entry| {
+        entry.limits.get_or_insert_default().connections = CONNECTION_LIMIT;
     });
-    let watch = Watch::start(&fleet);
-    let load = Load::mixed("mixed", &fleet.doors(), 8, fleet.shards(BAGMATI.index));
-    load.until_more(50);
-    fleet.cut(SIDES);
-    until_split(&fleet);
-    check_sides_serve(&fleet);
-    let changed = publish_to_one_side(&fleet);
-    load.until_more(200);
-    fleet.cut([&[], &[]]);
-    fleet.until_in_force(changed);
-    fleet.settle();
-    load.until_more(50);
-    fleet.check(&load.finish());
-    watch.finish();
-    fleet.check_connections();
-    for at in fleet.running() {
-        let key = format!("added-{at}");
-        ask(&fleet.door(at), report("added", &key)).check_complete(&fleet.index("report-desk"));
+    let monitor = StatusMonitor::start(&fleet);
+    let load = CallerLoad::start_mixed(
+        "mixed",
+        &fleet.caller_addresses(),
+        8,
+        fleet.shard_names(BAGMATI.index),
+    );
+    load.wait_for_answers(50);
+    fleet.cut_links(SIDES);
+    wait_until_partitioned(&fleet);
+    check_both_sides_serve(&fleet);
+    let changed_revision = publish_to_one_side(&fleet);
+    load.wait_for_answers(200);
+    fleet.cut_links([&[], &[]]);
+    fleet.wait_for_revision(changed_revision);
+    fleet.wait_until_settled();
+    load.wait_for_answers(50);
+    fleet.check_exchanges(&load.stop_and_collect());
+    monitor.stop_and_collect();
+    fleet.check_connection_limits();
+    for instance in fleet.running_instances() {
+        let key = format!("added-{instance}");
+        send_request(&fleet.caller_address(instance), report_desk_request("added", &key))
+            .check_complete(&fleet.published_index("report-desk"));
     }
 }
 
-/// Each instance of both sides answers completely.
-fn check_sides_serve(fleet: &Fleet) {
-    let index = fleet.index(BAGMATI.index);
-    for at in fleet.running() {
-        ask(&fleet.door(at), BAGMATI.sweep(&format!("split-{at}"))).check_complete(&index);
+/// Checks that each instance on both sides answers a sweep completely.
+fn check_both_sides_serve(fleet: &Fleet) {
+    let index = fleet.published_index(BAGMATI.index);
+    for instance in fleet.running_instances() {
+        send_request(&fleet.caller_address(instance), BAGMATI.sweep(&format!("split-{instance}")))
+            .check_complete(&index);
     }
 }
 
-/// Publishes a change that only the first side can learn now; gives its revision.
+/// Publishes a change that only the first side can read during the partition; returns its revision.
 fn publish_to_one_side(fleet: &Fleet) -> u64 {
-    let entry = fleet.entry("report-desk", "added");
-    let changed = fleet.publish(vec![Body::Entry(entry)]);
-    for &at in SIDES[0] {
-        until("the change is in force on the side of the platform", || {
-            fleet.status(at).is_some_and(|status| status.revision >= changed)
+    let entry = fleet.entry_with_operation("report-desk", "added");
+    let changed_revision = fleet.publish(vec![Body::Entry(entry)]);
+    for &instance in SIDES[0] {
+        wait_until("the change is in force on the side that reaches the platform", || {
+            fleet.status(instance).is_some_and(|status| status.revision >= changed_revision)
         });
     }
-    for &at in SIDES[1] {
-        assert!(fleet.view(at).revision < changed, "the cut does not hold");
+    for &instance in SIDES[1] {
+        assert!(
+            fleet.expect_status(instance).revision < changed_revision,
+            "an instance on the other side received the change despite the partition"
+        );
     }
-    changed
+    changed_revision
 }
--- a/tests/integration/path.rs
+++ b/tests/integration/path.rs
@@ -1,25 +1,25 @@
-//! The whole path through real processes.
+//! Requests through real processes without failures: answers, refusals and expired deadlines.
 
 use ladder_schema::call::{Answer, Request};
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_standin::layout::user::User;
 
-use crate::fleet::call::{Exchange, PORTO, ask};
-use crate::fleet::{Fleet, http, layout};
+use crate::fleet::call::{Exchange, PORTO, send_request};
+use crate::fleet::{Fleet, http, small_layout};
 
-/// A request that is refused, and how.
-struct Refused {
+/// Request that must be refused, with the expected HTTP status and reason.
+struct RefusalCase {
     request: Request,
     status: u16,
     reason: Reason,
 }
 
-fn refused() -> Vec<Refused> {
-    let case = |request, status, reason| Refused { request, status, reason };
-    let nowhere = || "nowhere".to_owned();
-    let index = Request { index: nowhere(), ..PORTO.sweep("unknown-index") };
-    let operation = Request { operation: nowhere(), ..PORTO.sweep("unknown-operation") };
-    let shard = Request { shards: vec![nowhere()], ..PORTO.sweep("unknown-shard") };
+fn refusal_cases() -> Vec<RefusalCase> {
+    let case = |request, status, reason| RefusalCase { request, status, reason };
+    let unknown_name = || "nowhere".to_owned();
+    let index = Request { index: unknown_name(), ..PORTO.sweep("unknown-index") };
+    let operation = Request { operation: unknown_name(), ..PORTO.sweep("unknown-operation") };
+    let shard = Request { shards: vec![unknown_name()], ..PORTO.sweep("unknown-shard") };
     let large = "x".repeat(64 * 1024 + 1);
     let payload = Request { payload: large, ..PORTO.sweep("payload-too-large") };
     let deadline = Request { deadline_ms: 60_001, ..PORTO.sweep("deadline-too-long") };
@@ -35,40 +35,44 @@
     ]
 }
 
-/// A commuter looks for a dock at all stations and books one: the sweep comes back whole and is
-/// the commuter's own, the booking runs once. What cannot be served is refused with its reason,
-/// before any target hears of it. Nothing fails here; it is the path that all other proofs use.
+/// Guards the normal path without failures, on which all other integration tests rely. Each sweep
+/// must be answered completely and belong to its request, each booking must run once, and a request
+/// that cannot be served must be refused with its reason before any target receives it.
 #[test]
-fn whole_path() {
-    let fleet = Fleet::start(layout(User::Porto, 2));
-    let index = fleet.index(PORTO.index);
-    for at in fleet.running() {
-        let sweep = ask(&fleet.door(at), PORTO.sweep(&format!("sweep-{at}")));
+fn requests_are_answered_or_refused_with_a_reason() {
+    let fleet = Fleet::start(small_layout(User::Porto, 2));
+    let index = fleet.published_index(PORTO.index);
+    for instance in fleet.running_instances() {
+        let sweep = send_request(
+            &fleet.caller_address(instance),
+            PORTO.sweep(&format!("sweep-{instance}")),
+        );
         sweep.check_complete(&index);
         assert_eq!(sweep.answer().verdict(), Verdict::Ran);
         for shard in &index.shards {
-            let key = format!("booking-{at}-{}", shard.name);
-            let booking = ask(&fleet.door(at), PORTO.booking(&key, &shard.name));
+            let key = format!("booking-{instance}-{}", shard.name);
+            let booking =
+                send_request(&fleet.caller_address(instance), PORTO.booking(&key, &shard.name));
             booking.check_complete(&index);
             assert_eq!(booking.answer().verdict(), Verdict::Ran);
-            assert_eq!(fleet.executed().of_key(&key), 1);
+            assert_eq!(fleet.read_executions().count_for_key(&key), 1);
         }
     }
     check_refusals(&fleet);
-    check_expired(&fleet);
-    fleet.executed().check_no_doubles(PORTO.booking);
-    fleet.check_connections();
+    check_short_deadlines(&fleet);
+    fleet.read_executions().check_no_double_execution(PORTO.booking);
+    fleet.check_connection_limits();
 }
 
 fn check_refusals(fleet: &Fleet) {
     let mut keys = Vec::new();
-    for case in refused() {
-        let exchange = ask(&fleet.door(0), case.request);
+    for case in refusal_cases() {
+        let exchange = send_request(&fleet.caller_address(0), case.request);
         let answer = exchange.answer();
         assert_eq!(exchange.status(), case.status, "{answer:?}");
         assert_eq!(answer.reason(), case.reason, "{answer:?}");
         keys.push(exchange.request.key.clone());
-        // What the first attempt did is not known here.
+        // The instance does not know whether the first attempt of a repeated key ran.
         let expected = match case.reason {
             Reason::RepeatedKey => Verdict::MayHaveRun,
             _ => Verdict::NotRun,
@@ -81,29 +85,30 @@
         (&[b' '; 128 * 1024 + 1], 413, Reason::TooLarge),
     ];
     for (body, status, reason) in bodies {
-        let response = http::exchange(&fleet.door(0), "POST", "/query", body).expect("an answer");
+        let response = http::round_trip(&fleet.caller_address(0), "POST", "/query", body)
+            .expect("the instance replies");
         let answer: Answer = response.json();
         assert_eq!((response.status, answer.reason()), (status, reason));
         assert_eq!(answer.verdict(), Verdict::NotRun);
     }
-    let executed = fleet.executed();
+    let executions = fleet.read_executions();
     for key in keys {
-        assert_eq!(executed.of_key(&key), 0, "{key:?} ran");
+        assert_eq!(executions.count_for_key(&key), 0, "the refused request {key:?} ran");
     }
 }
 
-/// A deadline that nothing can meet: nobody is kept waiting, and what is said not to have run did
-/// not run.
-fn check_expired(fleet: &Fleet) {
+/// Checks bookings with a deadline of 1 ms: each is answered, and none that is reported as not run
+/// has run.
+fn check_short_deadlines(fleet: &Fleet) {
     let exchanges = (0..20).map(|number| {
         let booking = PORTO.booking(&format!("expired-{number}"), "gate-finder-01");
-        ask(&fleet.door(number % 2), Request { deadline_ms: 1, ..booking })
+        send_request(&fleet.caller_address(number % 2), Request { deadline_ms: 1, ..booking })
     });
     let exchanges: Vec<Exchange> = exchanges.collect();
-    fleet.until_idle();
-    let executed = fleet.executed();
+    fleet.wait_until_idle();
+    let executions = fleet.read_executions();
     for exchange in &exchanges {
-        executed.check_verdicts(exchange);
+        executions.check_verdicts(exchange);
         let answer = exchange.answer();
         if answer.verdict() == Verdict::Ran {
             continue;
--- a/tests/integration/pause.rs
+++ b/tests/integration/pause.rs
@@ -1,4 +1,4 @@
-//! An instance is suspended for longer than every time limit, and wakes.
+//! An instance is paused for longer than every time limit and then resumed.
 
 use std::thread::JoinHandle;
 
@@ -8,111 +8,130 @@
 use ladder_standin::layout::user::User;
 use rustix::process::Signal;
 
-use crate::fleet::call::{BAGMATI, Exchange, ask, received, send};
-use crate::fleet::load::Load;
-use crate::fleet::{Fleet, layout, until};
+use crate::fleet::call::{BAGMATI, Exchange, join_requests, send_request, spawn_request};
+use crate::fleet::load::CallerLoad;
+use crate::fleet::{Fleet, small_layout, wait_until};
 
-/// Waits until all running instances but `victim` hold it dead and for nobody's owner.
-fn until_dead(fleet: &Fleet, victim: usize) {
-    let name = fleet.name(victim);
-    until("the frozen instance is held dead", || {
-        let mut others = fleet.running().into_iter().filter(|&at| at != victim);
-        others.all(|at| {
-            let status = fleet.view(at);
+/// Waits until all running instances except `paused` consider it dead and report it as the owner of
+/// no service.
+fn wait_until_considered_dead(fleet: &Fleet, paused: usize) {
+    let name = fleet.instance_name(paused);
+    wait_until("the other instances consider the paused instance dead", || {
+        let mut other_instances =
+            fleet.running_instances().into_iter().filter(|&instance| instance != paused);
+        other_instances.all(|instance| {
+            let status = fleet.expect_status(instance);
             let mut members = status.members.iter();
-            let alive = |liveness| matches!(liveness, Liveness::Alive | Liveness::Suspect);
-            !members.any(|member| member.name == name && alive(member.liveness()))
+            let may_be_alive = |liveness| matches!(liveness, Liveness::Alive | Liveness::Suspect);
+            !members.any(|member| member.name == name && may_be_alive(member.liveness()))
                 && status.services.iter().all(|service| service.owner != name)
         })
     });
 }
 
-/// An instance's machine is suspended with bookings in hand, and resumed when others have long
-/// taken its services over. It wakes with queued work, open deadlines and a view in which it owns
-/// them. A caller would see a dock booked twice, or an answer that calls a booking not run when it
-/// ran. Nothing stale may be acted on; every caller is answered, also its own.
+/// Guards against an instance acting on stale state after a process pause. The owner of a service
+/// is paused with bookings in progress and resumed long after other instances have taken over its
+/// services. It then still has queued work, open deadlines and a view in which it owns these
+/// services. It could run a booking a second time, or report a booking that ran as not run. Every
+/// caller must be answered, also those of the paused instance.
 #[test]
-fn frozen_owner() {
-    let fleet = Fleet::start(layout(User::Bagmati, 4));
-    let service = fleet.index(BAGMATI.index).shards.remove(0).service;
-    let victim = fleet.owner(&service);
-    let entry = fleet.others(victim).remove(0);
-    let shards = fleet.shards(BAGMATI.index);
-    let beside = Load::mixed("beside", &fleet.others(victim), 4, shards.clone());
-    let own = Load::start(&[fleet.door(victim)], 4, move |caller, number| {
+fn resumed_owner_does_not_act_on_stale_state() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 4));
+    let service = fleet.published_index(BAGMATI.index).shards.remove(0).service;
+    let paused = fleet.owner(&service);
+    let entry_address = fleet.other_caller_addresses(paused).remove(0);
+    let shards = fleet.shard_names(BAGMATI.index);
+    let other_load =
+        CallerLoad::start_mixed("beside", &fleet.other_caller_addresses(paused), 4, shards.clone());
+    let own_load = CallerLoad::start(&[fleet.caller_address(paused)], 4, move |caller, number| {
         let key = format!("own-{caller}-{number}");
         BAGMATI.booking(&key, &shards[(caller + number) % shards.len()])
     });
-    beside.until_more(50);
-    own.until_more(20);
-    let open = freeze(&fleet, victim, &entry, &service);
-    beside.until_more(50);
-    until_dead(&fleet, victim);
-    let mut exchanges = received(open);
-    check_retries(&fleet, victim, &exchanges);
-    fleet.signal(victim, Signal::CONT);
-    own.until_more(20);
-    fleet.settle();
-    beside.until_more(50);
-    exchanges.extend(beside.finish());
-    exchanges.extend(own.finish());
-    fleet.check(&exchanges);
-    fleet.check_connections();
+    other_load.wait_for_answers(50);
+    own_load.wait_for_answers(20);
+    let pending = pause_owner(&fleet, paused, &entry_address, &service);
+    other_load.wait_for_answers(50);
+    wait_until_considered_dead(&fleet, paused);
+    let mut exchanges = join_requests(pending);
+    check_retries(&fleet, paused, &exchanges);
+    fleet.signal(paused, Signal::CONT);
+    own_load.wait_for_answers(20);
+    fleet.wait_until_settled();
+    other_load.wait_for_answers(50);
+    exchanges.extend(other_load.stop_and_collect());
+    exchanges.extend(own_load.stop_and_collect());
+    fleet.check_exchanges(&exchanges);
+    fleet.check_connection_limits();
 }
 
-/// Freezes the owner of a service with one booking at a silent target and one on its way to it.
-fn freeze(fleet: &Fleet, victim: usize, door: &str, service: &str) -> Vec<JoinHandle<Exchange>> {
-    // Given up before the owner wakes.
-    let short = |key: &str| Request { deadline_ms: 3000, ..BAGMATI.booking(key, service) };
-    let mut open = Vec::new();
-    // The bookings beside it may hold all connections to the silent target. One that can't run in
-    // time then is refused at once, which must be true; the target speaks again and another is sent.
+/// Pauses the owner of a service while one booking runs at a silent target and another one is on
+/// its way to the owner.
+fn pause_owner(
+    fleet: &Fleet,
+    paused: usize,
+    entry_address: &str,
+    service: &str,
+) -> Vec<JoinHandle<Exchange>> {
+    // The deadline of these bookings passes before the owner is resumed.
+    let short_booking = |key: &str| Request { deadline_ms: 3000, ..BAGMATI.booking(key, service) };
+    let mut pending = Vec::new();
+    // Bookings of other callers may use all connections to the silent target. A booking that then
+    // cannot run in time is refused at once, and must really not have run; the target is made to
+    // reply again and the next booking is sent.
     for attempt in 0.. {
-        assert!(attempt < 20, "no booking runs");
+        assert!(attempt < 20, "no booking started to run");
         let key = format!("running-{attempt}");
-        fleet.silence(service, true);
-        open.push(send(door.to_owned(), short(&key)));
-        let running = open.last().expect("it was sent just now");
-        until("the booking runs or is refused", || {
-            fleet.executed().of_key(&key) > 0 || running.is_finished()
+        fleet.set_silent(service, true);
+        pending.push(spawn_request(entry_address.to_owned(), short_booking(&key)));
+        let sent_request = pending.last().expect("a request was sent");
+        wait_until("the booking runs or is refused", || {
+            fleet.read_executions().count_for_key(&key) > 0 || sent_request.is_finished()
         });
-        if fleet.executed().of_key(&key) > 0 {
+        if fleet.read_executions().count_for_key(&key) > 0 {
             break;
         }
-        fleet.silence(service, false);
-        let mut asked = 0;
-        until("a booking runs again", || {
-            asked += 1;
-            let again = ask(door, short(&format!("again-{attempt}-{asked}")));
+        fleet.set_silent(service, false);
+        let mut requests_sent = 0;
+        wait_until("a booking runs again", || {
+            requests_sent += 1;
+            let again = send_request(
+                entry_address,
+                short_booking(&format!("again-{attempt}-{requests_sent}")),
+            );
             again.answer().verdict() == Verdict::Ran
         });
     }
-    fleet.signal(victim, Signal::STOP);
-    fleet.silence(service, false);
-    open.push(send(door.to_owned(), short("on-its-way")));
-    open
+    fleet.signal(paused, Signal::STOP);
+    fleet.set_silent(service, false);
+    pending.push(spawn_request(entry_address.to_owned(), short_booking("on-its-way")));
+    pending
 }
 
-/// What ended without proof is not run by a second attempt either, whoever is asked.
-fn check_retries(fleet: &Fleet, victim: usize, exchanges: &[Exchange]) {
-    let executed = fleet.executed();
+/// Checks the verdicts of the bookings that the paused owner held, and that every other instance
+/// refuses a second attempt of a booking that may have run.
+fn check_retries(fleet: &Fleet, paused: usize, exchanges: &[Exchange]) {
+    let executions = fleet.read_executions();
     for exchange in exchanges {
         let answer = exchange.answer();
         if exchange.request.key.starts_with("running") {
-            let ran = executed.of_key(&exchange.request.key) > 0;
-            let told = if ran { Verdict::MayHaveRun } else { Verdict::NotRun };
-            assert_eq!(answer.verdict(), told, "{answer:?}");
+            let ran = executions.count_for_key(&exchange.request.key) > 0;
+            let reported = if ran { Verdict::MayHaveRun } else { Verdict::NotRun };
+            assert_eq!(answer.verdict(), reported, "{answer:?}");
         }
         if answer.verdict() == Verdict::NotRun {
             continue;
         }
-        // A door that saw it run may say so; none may say more than is true.
+        // An instance that received proof of the execution may report `Ran`; the others must report
+        // `MayHaveRun`.
         let ran = answer.verdict() == Verdict::Ran;
-        for door in fleet.others(victim) {
-            let retry = ask(&door, Request { attempt: 2, ..exchange.request.clone() });
+        for address in fleet.other_caller_addresses(paused) {
+            let retry = send_request(&address, Request { attempt: 2, ..exchange.request.clone() });
             let answer = retry.answer();
-            let told = answer.verdict();
-            assert!(told == Verdict::MayHaveRun || ran && told == Verdict::Ran, "{answer:?}");
+            let reported = answer.verdict();
+            assert!(
+                reported == Verdict::MayHaveRun || ran && reported == Verdict::Ran,
+                "{answer:?}"
+            );
             assert_eq!(answer.reason(), Reason::RepeatedKey, "{answer:?}");
             assert_eq!(retry.status(), 409);
         }
--- a/tests/integration/reload.rs
+++ b/tests/integration/reload.rs
@@ -1,36 +1,39 @@
-//! Settings that are read again while an instance runs.
+//! Settings files that change while an instance runs.
 
 use ladder_schema::settings::Level;
 use ladder_standin::layout::user::User;
 use rustix::process::Signal;
 
-use crate::fleet::call::{BAGMATI, ask};
-use crate::fleet::{Fleet, layout, until};
+use crate::fleet::call::{BAGMATI, send_request};
+use crate::fleet::{Fleet, small_layout, wait_until};
 
-/// An operator writes a settings file anew and sends SIGHUP. Callers would see an instance vanish
-/// in the middle of their queries: a process without a handler ends at that signal. It reads the
-/// file instead, takes over what may change, and goes on answering.
+/// Guards against SIGHUP ending the process, as it does without a handler, so that callers lose
+/// their queries. An operator changes the settings file and sends SIGHUP; the instance must read
+/// the file, apply the settings that may change and continue to answer.
 #[test]
-fn hangup_reads_the_settings() {
-    let fleet = Fleet::start(layout(User::Bagmati, 2).level(Level::Info));
+fn sighup_reloads_settings_and_keeps_serving() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 2).level(Level::Info));
     fleet.signal(0, Signal::HUP);
-    until("the settings are read", || fleet.logged(0, r#""seeds_changed":false"#));
-    fleet.edit(0, |settings| settings.seeds = vec!["127.0.0.1:9".to_owned()]);
+    wait_until("the settings are read again", || fleet.log_contains(0, r#""seeds_changed":false"#));
+    fleet.edit_settings(0, |settings| settings.seeds = vec!["127.0.0.1:9".to_owned()]);
     fleet.signal(0, Signal::HUP);
-    until("other seeds are taken over", || fleet.logged(0, r#""seeds_changed":true"#));
+    wait_until("the changed seeds are applied", || {
+        fleet.log_contains(0, r#""seeds_changed":true"#)
+    });
     assert!(fleet.is_ready(0));
-    fleet.check(&[ask(&fleet.door(0), BAGMATI.sweep("after-hangup"))]);
+    fleet.check_exchanges(&[send_request(&fleet.caller_address(0), BAGMATI.sweep("after-hangup"))]);
 }
 
-/// A settings file is changed without a signal, and wrongly. An operator must learn what is wrong
-/// with it, and the instance must not fall back to anything but the settings it has.
+/// Guards against silent acceptance of an invalid settings file that is changed without a signal.
+/// The instance must log what is invalid and keep its current settings.
 #[test]
-fn unusable_settings_are_refused() {
-    let fleet = Fleet::start(layout(User::Bagmati, 2).level(Level::Info));
-    fleet.edit(0, |settings| settings.zone = "a zone".to_owned());
-    until("the settings are refused", || {
-        fleet.logged(0, "settings refused") && fleet.logged(0, "a zone")
+fn invalid_settings_change_is_refused_and_logged() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 2).level(Level::Info));
+    fleet.edit_settings(0, |settings| settings.zone = "a zone".to_owned());
+    wait_until("the settings are refused", || {
+        fleet.log_contains(0, "settings refused") && fleet.log_contains(0, "a zone")
     });
     assert!(fleet.is_ready(0));
-    fleet.check(&[ask(&fleet.door(0), BAGMATI.sweep("after-refusal"))]);
+    fleet
+        .check_exchanges(&[send_request(&fleet.caller_address(0), BAGMATI.sweep("after-refusal"))]);
 }
--- a/tests/integration/story.rs
+++ b/tests/integration/story.rs
@@ -1,9 +1,9 @@
-//! The story of a request from the logs of all instances.
+//! Selection of the log lines of one request from the logs of all instances.
 
 use sycamoreladder::ctl::story::story;
 
-/// Lines of two instances as a collector hands them over: out of order, with words before them, among
-/// lines of other requests and lines that are none.
+/// Log lines of two instances as a log collector delivers them: out of order, with a prefix, mixed
+/// with lines of other requests and with text that is no log line.
 const LOGS: &str = r#"
  4.2 edge-2 {"msg":"answered","level":"INFO","ts":"2026-01-01T00:00:02Z","instance":"edge-2","missing":1,"id":"a"}
  4.1 edge-1 {"msg":"call","level":"INFO","ts":"2026-01-01T00:00:01Z","instance":"edge-1","server":"i-1","took_us":null,"id":"a"}
@@ -12,10 +12,10 @@
  4.1 edge-1 {"msg":"cut sho
 "#;
 
-/// An on-call engineer has an id and the logs of a fleet. What they say of it comes in order of time,
-/// and nothing that is about another request.
+/// Guards against missing, unsorted or unrelated lines when an engineer looks up a request id in
+/// the logs of a fleet: exactly the lines of this request must come out, in order of time.
 #[test]
-fn lines_of_one_request_in_order() {
+fn lines_of_one_request_are_selected_and_sorted_by_time() {
     let lines = story("a", LOGS);
     assert_eq!(
         lines,
--- a/tests/integration/twofold.rs
+++ b/tests/integration/twofold.rs
@@ -1,60 +1,70 @@
-//! Targets die, alone and together with an instance.
+//! Crashes of servers, alone and together with an instance.
 
 use ladder_schema::outcome::Verdict;
 use ladder_schema::standin::{Fault, Mode};
 use ladder_standin::layout::user::User;
 
-use crate::fleet::call::{BAGMATI, send};
-use crate::fleet::load::Load;
-use crate::fleet::{Fleet, layout, until};
+use crate::fleet::call::{BAGMATI, spawn_request};
+use crate::fleet::load::CallerLoad;
+use crate::fleet::{Fleet, small_layout, wait_until};
 
-/// A server of a service that another instance owns, so that its loss is not hidden by the owner's.
-fn target_of_another(fleet: &Fleet, victim: usize) -> String {
-    let shards = fleet.index(BAGMATI.index).shards;
+/// Name of a server whose service is not owned by the instance that is killed, so that the loss of
+/// the owner does not hide the loss of the server.
+fn server_not_owned_by(fleet: &Fleet, killed: usize) -> String {
+    let shards = fleet.published_index(BAGMATI.index).shards;
     let mut services = shards.iter().map(|shard| &shard.service);
-    let service = services.find(|service| fleet.owner(service) != victim);
-    let mut servers = fleet.servers_of(service.expect("no instance owns all"));
+    let service = services.find(|service| fleet.owner(service) != killed);
+    let mut servers = fleet.servers_of(service.expect("no instance owns all services"));
     servers.next().expect("the service has servers").name.clone()
 }
 
-/// Two things break at once while the platform is out of service: a target dies with requests in hand and
-/// the machine of an instance that owned other services goes. Nobody can publish either loss. The survivors notice
-/// both by themselves, and every check still covers all shards through the other replica.
+/// Guards against two faults at once that the platform cannot publish because it is down: a server
+/// crashes with requests in progress, and an instance that owns other services is killed. The
+/// remaining instances must detect both losses, and every sweep must still cover all shards through
+/// the other replica.
 #[test]
-fn two_faults_without_platform() {
-    let mut fleet = Fleet::start(layout(User::Bagmati, 4));
-    let victim = fleet.owner(&fleet.index(BAGMATI.index).shards[0].service);
-    let load = Load::mixed("mixed", &fleet.others(victim), 8, fleet.shards(BAGMATI.index));
-    load.until_more(50);
-    fleet.mode(Mode { down: true, ..Mode::default() });
-    let dead = target_of_another(&fleet, victim);
-    fleet.fault(&dead, &Fault { slowdown: 50, ..Fault::default() });
-    load.until_more(50);
-    fleet.fault(&dead, &Fault { dead: true, ..Fault::default() });
-    fleet.kill(victim);
-    load.until_more(100);
-    fleet.until_replaced(victim);
-    load.until_more(200);
-    fleet.check(&load.finish());
+fn loss_of_server_and_instance_without_platform_keeps_sweeps_complete() {
+    let mut fleet = Fleet::start(small_layout(User::Bagmati, 4));
+    let killed = fleet.owner(&fleet.published_index(BAGMATI.index).shards[0].service);
+    let load = CallerLoad::start_mixed(
+        "mixed",
+        &fleet.other_caller_addresses(killed),
+        8,
+        fleet.shard_names(BAGMATI.index),
+    );
+    load.wait_for_answers(50);
+    fleet.set_platform_mode(Mode { down: true, ..Mode::default() });
+    let crashed = server_not_owned_by(&fleet, killed);
+    fleet.set_fault(&crashed, &Fault { slowdown: 50, ..Fault::default() });
+    load.wait_for_answers(50);
+    fleet.set_fault(&crashed, &Fault { dead: true, ..Fault::default() });
+    fleet.kill(killed);
+    load.wait_for_answers(100);
+    fleet.wait_until_services_reassigned(killed);
+    load.wait_for_answers(200);
+    fleet.check_exchanges(&load.stop_and_collect());
 }
 
-/// A target dies with a payout lookup in hand. Its connection ends before any answer, which looks
-/// like a connection that could not be made. The other replica would run the lookup once more and
-/// the member's account be frozen. It runs once, and the caller is told that it may have run.
+/// Guards against running a booking twice. A server crashes while it executes a booking, and its
+/// connection ends without a reply, which looks like a connection that could not be established.
+/// The other replica must not run the booking again, and the caller must learn that it may have
+/// run.
 #[test]
-fn dead_target_with_a_booking() {
-    let fleet = Fleet::start(layout(User::Bagmati, 2));
-    let service = fleet.shards(BAGMATI.index).remove(0);
-    fleet.silence(&service, true);
-    let caller = send(fleet.door(0), BAGMATI.booking("held", &service));
-    until("the booking runs", || fleet.executed().of_key("held") > 0);
+fn booking_at_crashed_server_runs_once() {
+    let fleet = Fleet::start(small_layout(User::Bagmati, 2));
+    let service = fleet.shard_names(BAGMATI.index).remove(0);
+    fleet.set_silent(&service, true);
+    let caller = spawn_request(fleet.caller_address(0), BAGMATI.booking("held", &service));
+    wait_until("the booking runs at a server", || {
+        fleet.read_executions().count_for_key("held") > 0
+    });
     let mut servers = fleet.servers_of(&service);
-    let holder = servers.find(|server| !fleet.ledger(&server.name).executions.is_empty());
-    let holder = holder.expect("one of them has it");
-    fleet.silence(&service, false);
-    fleet.fault(&holder.name, &Fault { dead: true, ..Fault::default() });
+    let executing_server = servers.find(|server| !fleet.ledger(&server.name).executions.is_empty());
+    let executing_server = executing_server.expect("one of the servers runs the booking");
+    fleet.set_silent(&service, false);
+    fleet.set_fault(&executing_server.name, &Fault { dead: true, ..Fault::default() });
     let exchange = caller.join().expect("the caller is answered");
-    fleet.until_idle();
-    assert_eq!(fleet.executed().of_key("held"), 1, "doubled");
+    fleet.wait_until_idle();
+    assert_eq!(fleet.read_executions().count_for_key("held"), 1, "the booking ran more than once");
     assert_eq!(exchange.answer().verdict(), Verdict::MayHaveRun);
 }
