--- a/tests/integration/crash.rs
+++ b/tests/integration/crash.rs
@@ -45,8 +45,8 @@
     sleep(LOAD_POLL_WAIT);
 }
 
-/// Guards against a request that crashes servers each time it is sent, through one instance after
-/// another.
+/// Guards against a poison request that crashes servers each time callers send it, through one
+/// instance after another. Every instance must quarantine it.
 #[test]
 fn request_that_crashes_servers_is_quarantined_at_every_instance() {
     let fleet = Fleet::start(small_layout(User::Bagmati, 3));
--- a/tests/integration/fleet.rs
+++ b/tests/integration/fleet.rs
@@ -72,7 +72,7 @@
 }
 
 /// Layout that most tests start from: two target processes, and about a tenth of the services that
-/// the user runs today.
+/// the organization `user` runs today.
 pub(crate) fn small_layout(user: User, instances: u32) -> Layout {
     Layout::new(user)
         .instances(instances)
@@ -168,7 +168,7 @@
         self.run.instances[instance].caller_address.clone()
     }
 
-    /// Name of an instance.
+    /// Name of the instance with a given number.
     pub(crate) fn instance_name(&self, instance: usize) -> &str {
         &self.run.instances[instance].name
     }
@@ -195,7 +195,7 @@
         exit_status.and_then(|status| status.code())
     }
 
-    /// Kills the process of an instance.
+    /// Kills the process of an instance without a graceful stop.
     pub(crate) fn kill(&mut self, instance: usize) {
         self.instances[instance] = None;
     }
--- a/tests/integration/fleet/call.rs
+++ b/tests/integration/fleet/call.rs
@@ -15,7 +15,7 @@
 /// Names of the index and the operations that the tests use in one user's catalogue.
 #[derive(Clone, Copy)]
 pub(crate) struct Operations {
-    /// Name of the index.
+    /// Name of the index that sweeps and bookings query.
     pub(crate) index: &'static str,
     /// Name of an idempotent operation that queries all shards.
     pub(crate) sweep: &'static str,
@@ -33,7 +33,7 @@
     Operations { index: "counter-desk", sweep: "eligibility", booking: "payout-lookup" };
 
 impl Operations {
-    /// Request of the idempotent operation for all shards.
+    /// Returns a sweep, which is a request of the idempotent operation for all shards.
     pub(crate) fn sweep(self, key: &str) -> Request {
         Request {
             key: key.to_owned(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Request of the non-idempotent operation for one shard.
+    /// Returns a booking, which is a request of the non-idempotent operation for one shard.
     pub(crate) fn booking(self, key: &str, shard: &str) -> Request {
         Request {
             operation: self.booking.to_owned(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// A request and its outcome.
+/// A caller's request and its outcome.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     pub(crate) request: Request,
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Checks that the covered and missing shards together are exactly the requested shards of this
-    /// index version.
+    /// Checks that the covered and missing shards of the answer together are exactly the requested
+    /// shards of this index version.
     pub(crate) fn check_all_shards_listed(&self, index: &Index) {
         let answer = self.answer();
         assert_eq!(answer.version, index.version);
--- a/tests/integration/fleet/outside.rs
+++ b/tests/integration/fleet/outside.rs
@@ -63,19 +63,19 @@
         self.published.iter().flat_map(|record| &record.body).filter_map(select)
     }
 
-    /// Servers as published at the start.
+    /// Servers that the platform published at the start.
     pub(crate) fn published_servers(&self) -> impl Iterator<Item = &Server> {
         self.published_bodies(
             |body| if let Body::Server(server) = body { Some(server) } else { None },
         )
     }
 
-    /// Servers of a service as published at the start.
+    /// Servers of one service that the platform published at the start.
     pub(crate) fn servers_of(&self, service: &str) -> impl Iterator<Item = &Server> {
         self.published_servers().filter(move |server| server.service == service)
     }
 
-    /// Index as published at the start.
+    /// Index with a given name as the platform published it at the start.
     pub(crate) fn published_index(&self, name: &str) -> Index {
         let mut indexes =
             self.published_bodies(
--- a/tests/integration/fleet/turn.rs
+++ b/tests/integration/fleet/turn.rs
@@ -8,7 +8,7 @@
 static RUNNING_FLEETS: Mutex<usize> = Mutex::new(0);
 static FLEET_ENDED: Condvar = Condvar::new();
 
-/// Permit to run one fleet; dropping it lets a waiting test start its fleet.
+/// Permit to run one fleet of processes; dropping it lets a waiting test start its fleet.
 pub(crate) struct FleetPermit(());
 
 impl FleetPermit {
--- a/tests/integration/leaving.rs
+++ b/tests/integration/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that leave: no new work may be sent to them.
+//! Tests that no new work is sent to servers that are leaving, which are about to be removed.
 
 use ladder_schema::publication::record::Body;
 use ladder_schema::publication::{Server, State};
--- a/tests/integration/path.rs
+++ b/tests/integration/path.rs
@@ -35,7 +35,7 @@
     ]
 }
 
-/// Guards the normal path without failures, on which all other integration tests rely. Each sweep
+/// Guards against faults on the normal path, on which all other integration tests rely. Each sweep
 /// must be answered completely and belong to its request, each booking must run once, and a request
 /// that cannot be served must be refused with its reason before any target receives it.
 #[test]
@@ -72,7 +72,8 @@
         assert_eq!(exchange.status(), case.status, "{answer:?}");
         assert_eq!(answer.reason(), case.reason, "{answer:?}");
         keys.push(exchange.request.key.clone());
-        // The instance does not know whether the first attempt of a repeated key ran.
+        // The instance does not know whether the first attempt of a repeated key ran, so it must
+        // answer `MayHaveRun`.
         let expected = match case.reason {
             Reason::RepeatedKey => Verdict::MayHaveRun,
             _ => Verdict::NotRun,
--- a/tests/integration/pause.rs
+++ b/tests/integration/pause.rs
@@ -64,8 +64,8 @@
     fleet.check_connection_limits();
 }
 
-/// Pauses the owner of a service while one booking runs at a silent target and another one is on
-/// its way to the owner.
+/// Pauses the process of the owner of a service while one booking runs at a target that does not
+/// reply and another one is on its way to the owner.
 fn pause_owner(
     fleet: &Fleet,
     paused: usize,
@@ -75,9 +75,9 @@
     // The deadline of these bookings passes before the owner is resumed.
     let short_booking = |key: &str| Request { deadline_ms: 3000, ..BAGMATI.booking(key, service) };
     let mut pending = Vec::new();
-    // Bookings of other callers may use all connections to the silent target. A booking that then
-    // cannot run in time is refused at once, and must really not have run; the target is made to
-    // reply again and the next booking is sent.
+    // Bookings of other callers may use all connections to the target that does not reply. A
+    // booking that then cannot run in time is refused at once, and must really not have run; the
+    // target is made to reply again and the next booking is sent.
     for attempt in 0.. {
         assert!(attempt < 20, "no booking started to run");
         let key = format!("running-{attempt}");
--- a/tests/integration/vanish.rs
+++ b/tests/integration/vanish.rs
@@ -9,7 +9,8 @@
 use crate::fleet::load::CallerLoad;
 use crate::fleet::{Fleet, small_layout, wait_until};
 
-/// Sends one booking to each address and waits until all of them run at silent targets.
+/// Sends one booking through each instance address and waits until all of them run at targets that
+/// accept requests without replying.
 fn start_unanswered_bookings(
     fleet: &Fleet,
     addresses: &[String],
