--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -2,9 +2,9 @@
 //! each service's queue, the slots and pooled connections of its servers, hedges and retries.
 
 mod admission;
+mod aggregate;
 mod attempt;
 mod budget;
-mod collect;
 mod crash;
 mod dispatch;
 mod ending;
--- a/crates/core/src/leaf/collect.rs
+++ b/crates/core/src/leaf/aggregate.rs
@@ -22,12 +22,12 @@
 
 new_key_type! {
     /// Key of a group of portions whose replies are aggregated.
-    pub(super) struct CollectionKey;
+    pub(super) struct AggregationKey;
 }
 
 /// Partial aggregation of the replies of one message of work.
 #[derive(Debug)]
-pub(super) struct Collection {
+pub(super) struct Aggregation {
     to: Peer,
     query: Query,
     round: u32,
@@ -53,13 +53,13 @@
         &mut self,
         job: &Job,
         portions: usize,
-    ) -> Option<CollectionKey> {
+    ) -> Option<AggregationKey> {
         let collect = job.work.collect?;
         let is_sweep = job.work.forward.as_ref().is_some_and(|forward| forward.part);
         if portions < 2 || !is_sweep {
             return None;
         }
-        let key = self.collections.insert(Collection {
+        let key = self.aggregations.insert(Aggregation {
             to: job.from.clone(),
             query: job.query(),
             round: job.work.round,
@@ -70,17 +70,17 @@
             timed_out: false,
         });
         let timely_at = self.now + Duration::from_micros(collect.timely_us);
-        self.timers.push(timely_at, Timer::Collection(key));
+        self.timers.push(timely_at, Timer::Aggregation(key));
         Some(key)
     }
 
     /// Sends a reply, or keeps an answer until the replies with which it is aggregated have
     /// arrived.
-    pub(super) fn reply(&mut self, job: &Job, reply: Reply, out: &mut Vec<Action>) {
+    pub(super) fn reply_or_aggregate(&mut self, job: &Job, reply: Reply, out: &mut Vec<Action>) {
         let answered = (reply.verdict(), reply.reason()) == (Verdict::Ran, Reason::Unspecified);
-        let collection = job.collection.and_then(|key| self.collections.get_mut(key));
-        match collection.filter(|collection| answered && !collection.timed_out) {
-            Some(collection) => collection.replies.push(reply),
+        let aggregation = job.aggregation.and_then(|key| self.aggregations.get_mut(key));
+        match aggregation.filter(|aggregation| answered && !aggregation.timed_out) {
+            Some(aggregation) => aggregation.replies.push(reply),
             None => out.push(Action::Reply { to: job.from.clone(), reply }),
         }
         self.settle_portion(job, out);
@@ -90,32 +90,32 @@
     /// delivered before and gets none.
     pub(super) fn settle_portion(&mut self, job: &Job, out: &mut Vec<Action>) {
         self.settle_sibling(job);
-        let Some(key) = job.collection else {
+        let Some(key) = job.aggregation else {
             return;
         };
-        let Some(collection) = self.collections.get_mut(key) else {
+        let Some(aggregation) = self.aggregations.get_mut(key) else {
             return;
         };
-        collection.open_portions = collection.open_portions.saturating_sub(1);
-        if collection.open_portions == 0 {
+        aggregation.open_portions = aggregation.open_portions.saturating_sub(1);
+        if aggregation.open_portions == 0 {
             self.send_merged(key, out);
-            self.collections.remove(key);
+            self.aggregations.remove(key);
         }
     }
 
     /// Sends the replies collected so far when the time of an aggregation is over, and reports to
     /// the entry instance that the others are still pending.
-    pub(super) fn collection_due(&mut self, key: CollectionKey, out: &mut Vec<Action>) {
-        let Some(collection) = self.collections.get_mut(key) else {
+    pub(super) fn aggregation_due(&mut self, key: AggregationKey, out: &mut Vec<Action>) {
+        let Some(aggregation) = self.aggregations.get_mut(key) else {
             return;
         };
-        collection.timed_out = true;
+        aggregation.timed_out = true;
         let pending = Pending {
-            query: collection.query.number,
-            round: collection.round,
-            incarnation: collection.query.incarnation,
+            query: aggregation.query.number,
+            round: aggregation.round,
+            incarnation: aggregation.query.incarnation,
         };
-        let to = collection.to.clone();
+        let to = aggregation.to.clone();
         self.send_merged(key, out);
         out.push(Action::Pending { to, pending });
     }
@@ -126,24 +126,24 @@
     /// portions lead to all aggregations of the query.
     pub(super) fn drop_aggregations(&mut self, open_portions: &[PortionKey]) {
         for key in open_portions {
-            let collection = self.portions.get(*key).and_then(|portion| portion.job.collection);
-            collection.and_then(|key| self.collections.remove(key));
+            let aggregation = self.portions.get(*key).and_then(|portion| portion.job.aggregation);
+            aggregation.and_then(|key| self.aggregations.remove(key));
         }
     }
 
     /// Sends the collected answers. The first reply carries the greatest records of all of them.
-    fn send_merged(&mut self, key: CollectionKey, out: &mut Vec<Action>) {
-        let Some(collection) = self.collections.get_mut(key) else {
+    fn send_merged(&mut self, key: AggregationKey, out: &mut Vec<Action>) {
+        let Some(aggregation) = self.aggregations.get_mut(key) else {
             return;
         };
-        let mut replies = std::mem::take(&mut collection.replies);
+        let mut replies = std::mem::take(&mut aggregation.replies);
         if replies.len() > 1 {
-            merge_replies(&mut replies, collection.top);
+            merge_replies(&mut replies, aggregation.top);
         }
         if let Some(first) = replies.first_mut() {
-            first.held_us = micros(self.now.since(collection.arrived));
+            first.held_us = micros(self.now.since(aggregation.arrived));
         }
-        let to = &collection.to;
+        let to = &aggregation.to;
         out.extend(replies.into_iter().map(|reply| Action::Reply { to: to.clone(), reply }));
     }
 }
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -45,9 +45,9 @@
         let portions = std::mem::take(&mut work.portions);
         let key = work.key.as_str().into();
         let fingerprint = Fingerprint::read(&work.fingerprint);
-        let (collection, siblings) = (None, None);
-        let mut job = Job { from, incarnation, key, fingerprint, work, collection, siblings };
-        job.collection = self.begin_aggregation(&job, portions.len());
+        let (aggregation, siblings) = (None, None);
+        let mut job = Job { from, incarnation, key, fingerprint, work, aggregation, siblings };
+        job.aggregation = self.begin_aggregation(&job, portions.len());
         job.siblings = self.track_siblings(&job, portions.len());
         let job = Arc::new(job);
         for portion in portions {
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -5,8 +5,8 @@
 
 use slotmap::SlotMap;
 
+use super::aggregate::{Aggregation, AggregationKey};
 use super::attempt::Attempt;
-use super::collect::{Collection, CollectionKey};
 use super::crash::Crashes;
 use super::event::{Action, AttemptKey, Event, LaneKey};
 use super::kinds::Kinds;
@@ -92,7 +92,7 @@
     /// Call times by kind of work over all services: the initial estimate for a service that this
     /// instance has no samples of yet.
     pub(super) kinds: Kinds,
-    pub(super) collections: SlotMap<CollectionKey, Collection>,
+    pub(super) aggregations: SlotMap<AggregationKey, Aggregation>,
     pub(super) siblings: SlotMap<SiblingsKey, Siblings>,
     pub(super) crashes: Crashes,
     /// Instances among which the request rate of servers in warm-up is divided.
@@ -128,7 +128,7 @@
             cancelled: Recent::default(),
             records: Records::default(),
             kinds: Kinds::default(),
-            collections: SlotMap::default(),
+            aggregations: SlotMap::default(),
             siblings: SlotMap::default(),
             crashes: Crashes::default(),
             fleet: Fleet::default(),
@@ -195,7 +195,7 @@
                 Timer::Pump(service) => self.resume_service(service, out),
                 Timer::Upkeep(service) => self.upkeep(service, out),
                 Timer::Abandon(attempt) => self.abandon(attempt, out),
-                Timer::Collection(key) => self.collection_due(key, out),
+                Timer::Aggregation(key) => self.aggregation_due(key, out),
             }
         }
     }
@@ -209,7 +209,7 @@
                 Timer::Late(portion) => !self.waits(portion),
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
                 Timer::Abandon(attempt) => !self.attempts.contains_key(attempt),
-                Timer::Collection(key) => !self.collections.contains_key(key),
+                Timer::Aggregation(key) => !self.aggregations.contains_key(key),
                 Timer::Pump(service) | Timer::Upkeep(service) => {
                     !self.services.contains_key(service)
                 }
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -6,7 +6,7 @@
 use ladder_schema::wire;
 use slotmap::new_key_type;
 
-use super::collect::CollectionKey;
+use super::aggregate::AggregationKey;
 use super::event::AttemptKey;
 use super::kinds::Kind;
 use super::machine::Query;
@@ -42,7 +42,7 @@
     pub(super) work: wire::Work,
     /// Partial aggregation that gathers the replies; `None` if the entry wants each reply on its
     /// own.
-    pub(super) collection: Option<CollectionKey>,
+    pub(super) aggregation: Option<AggregationKey>,
     /// Group in which the progress of the sweep's portions is compared.
     pub(super) siblings: Option<SiblingsKey>,
 }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -55,7 +55,7 @@
     ) {
         Self::count(count::Event::Refusal, refused.reason, out);
         let reply = reply(job, service, refused, 0, Vec::new());
-        self.reply(job, reply, out);
+        self.reply_or_aggregate(job, reply, out);
     }
 
     /// Replies to a queued or sent portion with a refusal and removes the portion.
@@ -108,7 +108,7 @@
         if portion.eligible.is_some() {
             reply.avoid = self.avoided(portion.service);
         }
-        self.reply(&portion.job, reply, out);
+        self.reply_or_aggregate(&portion.job, reply, out);
         self.portion_ended(&portion.job, out);
     }
 
--- a/crates/core/src/leaf/timer.rs
+++ b/crates/core/src/leaf/timer.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use super::collect::CollectionKey;
+use super::aggregate::AggregationKey;
 use super::event::AttemptKey;
 use super::portion::PortionKey;
 use super::service::ServiceId;
@@ -25,7 +25,7 @@
     /// The connection of an abandoned call is to be closed.
     Abandon(AttemptKey),
     /// The replies gathered by a partial aggregation must be sent to the entry.
-    Collection(CollectionKey),
+    Aggregation(AggregationKey),
 }
 
 /// Timers in order of time. Timers of closed portions remain in the heap until they reach the top.
--- a/crates/core/tests/leaf/main.rs
+++ b/crates/core/tests/leaf/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the leaf machine.
 
+mod aggregate;
 mod attempts;
 mod bed;
-mod collect;
 mod crash;
 mod dispatch;
 mod exclusion;
