--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -171,7 +171,7 @@
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
             if !self.services[id].queue.is_empty() {
-                self.mark(id);
+                self.mark_changed(id);
             }
         }
     }
@@ -241,7 +241,7 @@
         }
         losses.push(Loss { request, at: self.now });
         self.crashes.add_suspect(self.now, request, key);
-        self.pump_at(self.servers[key].service, self.now + HOLD_TIME);
+        self.schedule_dispatch(self.servers[key].service, self.now + HOLD_TIME);
     }
 
     /// Handles a refused connection: no process listens at the address of the server, so its
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -41,10 +41,10 @@
 
 impl Machine {
     /// Dispatches queued portions of all services that changed during the current event.
-    pub(super) fn pump_marked(&mut self, out: &mut Vec<Action>) {
-        while let Some(id) = self.marked.pop() {
+    pub(super) fn dispatch_changed(&mut self, out: &mut Vec<Action>) {
+        while let Some(id) = self.changed_services.pop() {
             if let Some(service) = self.services.get_mut(id) {
-                service.marked = false;
+                service.is_changed = false;
                 self.dispatch_service(id, out);
             }
         }
@@ -399,9 +399,9 @@
 
     /// Schedules a dispatch of the service for the time at which a pause of one of its servers
     /// ends.
-    pub(super) fn pump_at(&mut self, id: ServiceId, at: Instant) {
+    pub(super) fn schedule_dispatch(&mut self, id: ServiceId, at: Instant) {
         if at > self.now {
-            self.timers.push(at, Timer::Pump(id));
+            self.timers.push(at, Timer::Dispatch(id));
         }
     }
 }
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -84,7 +84,7 @@
             Some(portion) => self.resolve_portion(portion, key, attempt, outcome, out),
             None => self.settle_record(attempt, &outcome, out),
         }
-        self.mark(attempt.service);
+        self.mark_changed(attempt.service);
     }
 
     /// Ends a call as lost, because this instance closed its connection.
@@ -179,7 +179,7 @@
                 let server = &mut self.servers[attempt.server];
                 server.health.failed(self.now, &mut self.random);
                 let until = server.health.paused_until();
-                self.pump_at(attempt.service, until);
+                self.schedule_dispatch(attempt.service, until);
             }
             Outcome::Error | Outcome::Lost | Outcome::Unsent => {}
         }
@@ -209,7 +209,7 @@
             }
             Reason::TargetShed => {
                 let until = server.health.shed(self.now, advice, &mut self.random);
-                self.pump_at(attempt.service, until);
+                self.schedule_dispatch(attempt.service, until);
             }
             _ => {}
         }
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -84,7 +84,7 @@
         let id = portion.service;
         let sent = self.attempts[attempt].sent;
         self.services[id].overdue.insert((sent, key));
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Sends the hedges that are due, for the call sent longest ago first, while slots and tokens
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -304,7 +304,7 @@
         let id = portion.service;
         let work = service.in_flight as usize + service.queue.len();
         service.peak.add(self.now, work.div_ceil(service.servers.len().max(1)));
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Handles the cancellation of a query by its entry instance. Portions that are still queued
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -74,9 +74,9 @@
         let delay = MIN_REOPEN_DELAY.saturating_mul(1 << exponent).min(max_delay);
         server.reopen_at = self.now + self.random.jitter(delay);
         let at = server.reopen_at;
-        self.pump_at(service, at);
+        self.schedule_dispatch(service, at);
         self.recheck(service, out);
-        self.mark(service);
+        self.mark_changed(service);
     }
 
     /// Processes the service's connections and queue after a back-off of one of its servers has
@@ -86,7 +86,7 @@
             return;
         }
         self.maintain(id, out);
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Uses a connection that has become idle, or closes it if the server has more connections than
@@ -96,7 +96,7 @@
         self.send_queued_cancels(server, out);
         self.maintain_server(server, out);
         let service = self.servers[server].service;
-        self.mark(service);
+        self.mark_changed(service);
     }
 
     /// Sends cancellations for calls that are no longer needed, as long as idle connections are
@@ -238,7 +238,7 @@
         self.services[id].expire_handover(self.now);
         self.maintain(id, out);
         self.probe(id, out);
-        self.mark(id);
+        self.mark_changed(id);
         if !self.forget(id) {
             self.timers.push(self.now + UPKEEP, Timer::Upkeep(id));
         }
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -105,9 +105,9 @@
     pub(super) gap: Option<Gap>,
     /// Services whose queue or servers changed while the current event was handled.
     ///
-    /// Invariant: contains every service whose `marked` flag is set, and possibly services that
+    /// Invariant: contains every service whose `is_changed` flag is set, and possibly services that
     /// have been removed.
-    pub(super) marked: Vec<ServiceId>,
+    pub(super) changed_services: Vec<ServiceId>,
 }
 
 impl Machine {
@@ -137,7 +137,7 @@
             sequence: 0,
             draining: false,
             gap: None,
-            marked: Vec::new(),
+            changed_services: Vec::new(),
             settings,
         }
     }
@@ -151,7 +151,7 @@
         }
         self.dispatch_event(event, out);
         self.run_due_timers(out);
-        self.pump_marked(out);
+        self.dispatch_changed(out);
         self.drop_stale_timers();
     }
 
@@ -192,7 +192,7 @@
                 Timer::Deadline(portion) => self.deadline(portion, out),
                 Timer::Late(portion) => self.late(portion, out),
                 Timer::Hedge(portion) => self.hedge_due(portion),
-                Timer::Pump(service) => self.resume_service(service, out),
+                Timer::Dispatch(service) => self.resume_service(service, out),
                 Timer::Upkeep(service) => self.upkeep(service, out),
                 Timer::Abandon(attempt) => self.abandon(attempt, out),
                 Timer::Aggregation(key) => self.aggregation_due(key, out),
@@ -210,7 +210,7 @@
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
                 Timer::Abandon(attempt) => !self.attempts.contains_key(attempt),
                 Timer::Aggregation(key) => !self.aggregations.contains_key(key),
-                Timer::Pump(service) | Timer::Upkeep(service) => {
+                Timer::Dispatch(service) | Timer::Upkeep(service) => {
                     !self.services.contains_key(service)
                 }
             };
@@ -223,13 +223,13 @@
 
     /// Marks a service whose queue or servers changed, so that its queue is processed at the end of
     /// the event.
-    pub(super) fn mark(&mut self, service: ServiceId) {
+    pub(super) fn mark_changed(&mut self, service: ServiceId) {
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        if !entry.marked {
-            entry.marked = true;
-            self.marked.push(service);
+        if !entry.is_changed {
+            entry.is_changed = true;
+            self.changed_services.push(service);
         }
     }
 
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -45,7 +45,7 @@
             }
             self.recheck(id, out);
             self.maintain(id, out);
-            self.mark(id);
+            self.mark_changed(id);
         }
         self.apply_quarantine(&before.quarantine, out);
     }
@@ -207,7 +207,7 @@
             self.maintain_server(key, out);
             self.recheck(id, out);
         }
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Handles the end of a process pause.
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -102,7 +102,7 @@
         }
         let service = &self.services[portion.service];
         let (name, busy) = (service.name.to_string(), service.busy.value());
-        self.mark(portion.service);
+        self.mark_changed(portion.service);
         let mut reply = reply(&portion.job, name, refused, portion.calls, parts);
         reply.busy_permille = (busy * 1000.0) as u32;
         if portion.eligible.is_some() {
@@ -174,7 +174,7 @@
         self.remove_lane(attempt.lane);
         out.push(Action::Close(attempt.lane));
         self.maintain_server(attempt.server, out);
-        self.mark(attempt.service);
+        self.mark_changed(attempt.service);
     }
 }
 
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -84,7 +84,7 @@
     /// until an answer reports an occupancy.
     pub(super) busy: MovingAverage,
     /// Whether the service's queue or servers changed while the current event was handled.
-    pub(super) marked: bool,
+    pub(super) is_changed: bool,
     pub(super) budget: Budget,
     pub(super) admission: Admission,
     /// Portions whose hedge is due but has found no free slot or no budget yet, by time of the
@@ -124,7 +124,7 @@
             in_flight: 0,
             kinds: Kinds::default(),
             busy: MovingAverage::default(),
-            marked: false,
+            is_changed: false,
             budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
             admission: Admission::default(),
             overdue: BTreeSet::new(),
--- a/crates/core/src/leaf/timer.rs
+++ b/crates/core/src/leaf/timer.rs
@@ -19,7 +19,7 @@
     /// The portion's first call has taken longer than the service's usual calls and may be hedged.
     Hedge(PortionKey),
     /// The back-off of one of the service's servers ends.
-    Pump(ServiceId),
+    Dispatch(ServiceId),
     /// Periodic maintenance of a service: load reports, idle connections, old records.
     Upkeep(ServiceId),
     /// The connection of an abandoned call is to be closed.
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -203,7 +203,7 @@
         }
         self.servers[key].warmup.record_request(self.now);
         let at = self.next_warmup_request_at(key);
-        self.pump_at(self.servers[key].service, at);
+        self.schedule_dispatch(self.servers[key].service, at);
     }
 
     /// Computes the warm-up quota of a listed server and schedules a dispatch for the end of its
@@ -217,7 +217,7 @@
             let names = self.fleet.names();
             server.warmup.quota = limit.quota(&server.name, &self.settings.name, names);
             let (service, until) = (server.service, server.warmup.until);
-            self.pump_at(service, until);
+            self.schedule_dispatch(service, until);
         }
     }
 
