--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -156,12 +156,16 @@
         let open = self.portions.iter().filter(|(_, portion)| is_refused(&portion.job));
         let open: Vec<PortionKey> = open.map(|(key, _)| key).collect();
         for key in open {
-            self.finish(key, Refused::with(self.current_verdict(key), Reason::Quarantined), out);
+            self.refuse_portion(
+                key,
+                Refused::with(self.current_verdict(key), Reason::Quarantined),
+                out,
+            );
         }
         let calls = self.attempts.iter().filter(|(_, attempt)| is_refused(&attempt.job));
         let calls: Vec<AttemptKey> = calls.map(|(key, _)| key).collect();
         for key in calls {
-            self.abandon(key, out);
+            self.abandon_call(key, out);
         }
     }
 
@@ -218,7 +222,11 @@
         let waiting = self.portions.iter().filter(|(_, portion)| is_poison(portion));
         let waiting: Vec<PortionKey> = waiting.map(|(key, _)| key).collect();
         for key in waiting {
-            self.finish(key, Refused::with(self.current_verdict(key), Reason::TargetLost), out);
+            self.refuse_portion(
+                key,
+                Refused::with(self.current_verdict(key), Reason::TargetLost),
+                out,
+            );
         }
     }
 
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -73,7 +73,7 @@
         for key in head {
             if self.too_late(key) {
                 let refused = Refused::with(self.current_verdict(key), Reason::WouldMissDeadline);
-                self.finish(key, refused, out);
+                self.refuse_portion(key, refused, out);
                 return true;
             }
             if self.misses_objective(key) {
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -57,7 +57,12 @@
 impl Machine {
     /// Handles the end of a call with its outcome: releases its slot, updates statistics and
     /// decides on its portion.
-    pub(super) fn ended(&mut self, key: AttemptKey, outcome: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn handle_call_end(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
@@ -200,12 +205,12 @@
                 let incarnation = server.incarnation;
                 server.leave(incarnation);
                 self.maintain_server(attempt.server, out);
-                self.recheck(attempt.service, out);
+                self.refuse_unservable(attempt.service, out);
             }
             Reason::VersionRetired => {
                 let work = &attempt.job.work;
                 server.retire(self.now, &work.index, work.version);
-                self.recheck(attempt.service, out);
+                self.refuse_unservable(attempt.service, out);
             }
             Reason::TargetShed => {
                 let until = server.health.shed(self.now, advice, &mut self.random);
@@ -249,7 +254,7 @@
         }
         match self.authorize_retry(key, verdict, reason) {
             Ok(()) => self.requeue(key, reason, out),
-            Err(refused) => self.finish(key, refused, out),
+            Err(refused) => self.refuse_portion(key, refused, out),
         }
     }
 
@@ -318,7 +323,11 @@
     }
 
     /// Refuses queued portions that no server of the service can take any more.
-    pub(super) fn recheck(&mut self, id: super::service::ServiceId, out: &mut Vec<Action>) {
+    pub(super) fn refuse_unservable(
+        &mut self,
+        id: super::service::ServiceId,
+        out: &mut Vec<Action>,
+    ) {
         let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
         for key in queued {
             let portion = &self.portions[key];
@@ -328,7 +337,7 @@
                 continue;
             };
             let verdict = portion.verdict();
-            self.finish(key, Refused { verdict, ..refused }, out);
+            self.refuse_portion(key, Refused { verdict, ..refused }, out);
         }
     }
 }
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -35,7 +35,7 @@
 
 impl Machine {
     /// Handles a message of work from an entry instance: queues or refuses each of its portions.
-    pub(super) fn work(
+    pub(super) fn handle_work(
         &mut self,
         from: Peer,
         incarnation: u64,
@@ -277,17 +277,17 @@
     }
 
     /// Whether a portion is in the queue of its service, without an open call.
-    pub(super) fn waits(&self, key: PortionKey) -> bool {
+    pub(super) fn is_queued(&self, key: PortionKey) -> bool {
         let portion = self.portions.get(key);
         portion.is_some_and(|portion| portion.place.is_some())
     }
 
     /// Refuses a portion that is still queued when too little time is left to answer it, so that
     /// its entry instance can use the remaining time.
-    pub(super) fn late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
-        if self.waits(key) {
+    pub(super) fn refuse_if_too_late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
+        if self.is_queued(key) {
             let verdict = self.current_verdict(key);
-            self.finish(key, Refused::with(verdict, Reason::WouldMissDeadline), out);
+            self.refuse_portion(key, Refused::with(verdict, Reason::WouldMissDeadline), out);
         }
     }
 
@@ -309,14 +309,19 @@
 
     /// Handles the cancellation of a query by its entry instance. Portions that are still queued
     /// are reported as not run.
-    pub(super) fn cancel(&mut self, from: Arc<str>, cancel: &wire::Cancel, out: &mut Vec<Action>) {
+    pub(super) fn handle_cancel(
+        &mut self,
+        from: Arc<str>,
+        cancel: &wire::Cancel,
+        out: &mut Vec<Action>,
+    ) {
         let query = Query { from, incarnation: cancel.incarnation, number: cancel.query };
         let keys = self.queries.remove(&query).unwrap_or_default();
         self.drop_aggregations(&keys);
         self.cancelled.insert(self.now, query);
         for key in keys {
             let verdict = self.current_verdict(key);
-            self.finish(key, Refused::with(verdict, Reason::Cancelled), out);
+            self.refuse_portion(key, Refused::with(verdict, Reason::Cancelled), out);
         }
     }
 
@@ -331,12 +336,12 @@
     }
 
     /// Refuses a portion whose deadline has passed.
-    pub(super) fn deadline(&mut self, key: PortionKey, out: &mut Vec<Action>) {
+    pub(super) fn refuse_at_deadline(&mut self, key: PortionKey, out: &mut Vec<Action>) {
         if !self.portions.contains_key(key) {
             return;
         }
         let verdict = self.current_verdict(key);
-        self.finish(key, Refused::with(verdict, Reason::Deadline), out);
+        self.refuse_portion(key, Refused::with(verdict, Reason::Deadline), out);
     }
 }
 
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -75,7 +75,7 @@
         server.reopen_at = self.now + self.random.jitter(delay);
         let at = server.reopen_at;
         self.schedule_dispatch(service, at);
-        self.recheck(service, out);
+        self.refuse_unservable(service, out);
         self.mark_changed(service);
     }
 
@@ -239,7 +239,7 @@
         self.maintain(id, out);
         self.probe(id, out);
         self.mark_changed(id);
-        if !self.forget(id) {
+        if !self.remove_unused(id) {
             self.timers.push(self.now + UPKEEP, Timer::Upkeep(id));
         }
     }
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -167,15 +167,17 @@
 
     fn dispatch_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Work { from, incarnation, work } => self.work(from, incarnation, work, out),
-            Event::Cancel { from, cancel } => self.cancel(from, &cancel, out),
+            Event::Work { from, incarnation, work } => {
+                self.handle_work(from, incarnation, work, out)
+            }
+            Event::Cancel { from, cancel } => self.handle_cancel(from, &cancel, out),
             Event::Opened(lane) => self.connection_opened(lane, out),
             Event::Closed(lane) => self.closed(lane, out),
             Event::Refused(lane) => self.lane_refused(lane, out),
-            Event::Ended { attempt, outcome } => self.ended(attempt, outcome, out),
-            Event::Load { server, load } => self.load(&server, load, out),
-            Event::View(view) => self.refresh(&view, out),
-            Event::Paused(gap) => self.resumed(gap, out),
+            Event::Ended { attempt, outcome } => self.handle_call_end(attempt, outcome, out),
+            Event::Load { server, load } => self.handle_load_report(&server, load, out),
+            Event::View(view) => self.handle_view(&view, out),
+            Event::Paused(gap) => self.handle_pause(gap, out),
             Event::Drain => self.draining = true,
             Event::Tick => {}
         }
@@ -189,12 +191,12 @@
             }
             self.timers.pop();
             match timer {
-                Timer::Deadline(portion) => self.deadline(portion, out),
-                Timer::Late(portion) => self.late(portion, out),
+                Timer::Deadline(portion) => self.refuse_at_deadline(portion, out),
+                Timer::Late(portion) => self.refuse_if_too_late(portion, out),
                 Timer::Hedge(portion) => self.hedge_due(portion),
                 Timer::Dispatch(service) => self.resume_service(service, out),
                 Timer::Upkeep(service) => self.upkeep(service, out),
-                Timer::Abandon(attempt) => self.abandon(attempt, out),
+                Timer::Abandon(attempt) => self.abandon_call(attempt, out),
                 Timer::Aggregation(key) => self.aggregation_due(key, out),
             }
         }
@@ -206,7 +208,7 @@
         while let Some((_, timer)) = self.timers.peek() {
             let is_stale = match timer {
                 Timer::Deadline(portion) => !self.portions.contains_key(portion),
-                Timer::Late(portion) => !self.waits(portion),
+                Timer::Late(portion) => !self.is_queued(portion),
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
                 Timer::Abandon(attempt) => !self.attempts.contains_key(attempt),
                 Timer::Aggregation(key) => !self.aggregations.contains_key(key),
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -19,7 +19,7 @@
 impl Machine {
     /// Applies a new view: updates services and servers, and refuses queued portions that can no
     /// longer be sent.
-    pub(super) fn refresh(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
+    pub(super) fn handle_view(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let others = view.neighbours.iter().map(|neighbour| &neighbour.peer.name);
         if self.fleet.observe(self.now, others.chain([&self.settings.name])) {
@@ -43,7 +43,7 @@
             if self.services[id].rank == Rank::None {
                 self.refuse_queued(id, out);
             }
-            self.recheck(id, out);
+            self.refuse_unservable(id, out);
             self.maintain(id, out);
             self.mark_changed(id);
         }
@@ -144,13 +144,13 @@
         let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
         for key in queued {
             let refused = Refused::with(self.current_verdict(key), Reason::NotOwner);
-            self.finish(key, refused, out);
+            self.refuse_portion(key, refused, out);
         }
     }
 
     /// Removes the unlisted servers without calls and connections, and the service itself when it
     /// has no rank, servers, calls or queued portions. Returns `true` when the service was removed.
-    pub(super) fn forget(&mut self, id: ServiceId) -> bool {
+    pub(super) fn remove_unused(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
             !server.listed && server.in_flight == 0 && server.lanes.is_empty()
@@ -184,7 +184,7 @@
     }
 
     /// Applies a load report of a server; a missing report changes nothing.
-    pub(super) fn load(
+    pub(super) fn handle_load_report(
         &mut self,
         name: &Arc<str>,
         load: Option<target::Load>,
@@ -205,7 +205,7 @@
         }
         if self.servers[key].leaving() {
             self.maintain_server(key, out);
-            self.recheck(id, out);
+            self.refuse_unservable(id, out);
         }
         self.mark_changed(id);
     }
@@ -215,7 +215,7 @@
     /// Portions that were queued during the pause are late, and the view is as old as the pause:
     /// another instance may have become the owner of the services since then. Non-idempotent
     /// portions and portions past their deadline are therefore refused.
-    pub(super) fn resumed(&mut self, length: Duration, out: &mut Vec<Action>) {
+    pub(super) fn handle_pause(&mut self, length: Duration, out: &mut Vec<Action>) {
         self.gap = Some(Gap { ended: self.now, length });
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
@@ -224,7 +224,7 @@
                 let portion = &self.portions[key];
                 if portion.unrepeatable || portion.deadline <= self.now {
                     let refused = Refused::with(portion.verdict(), Reason::Paused);
-                    self.finish(key, refused, out);
+                    self.refuse_portion(key, refused, out);
                 }
             }
         }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -59,10 +59,15 @@
     }
 
     /// Replies to a queued or sent portion with a refusal and removes the portion.
-    pub(super) fn finish(&mut self, key: PortionKey, refused: Refused, out: &mut Vec<Action>) {
+    pub(super) fn refuse_portion(
+        &mut self,
+        key: PortionKey,
+        refused: Refused,
+        out: &mut Vec<Action>,
+    ) {
         Self::count(count::Event::Refusal, refused.reason, out);
         let calls_too_slow = refused.reason == Reason::Deadline;
-        self.close(key, refused, Vec::new(), calls_too_slow, out);
+        self.close_portion(key, refused, Vec::new(), calls_too_slow, out);
     }
 
     /// Replies to a portion with a target's answer and removes the portion.
@@ -73,14 +78,14 @@
         out: &mut Vec<Action>,
     ) {
         let answered = Refused::with(Verdict::Ran, Reason::Unspecified);
-        self.close(key, answered, parts, true, out);
+        self.close_portion(key, answered, parts, true, out);
     }
 
     /// Removes a portion from the machine's state and replies to it. Its open calls are cancelled
     /// where that is allowed. With `slow` (after a missed deadline or the answer of another call),
     /// open calls that exceed the usual call time count as slow and as failed calls of their
     /// servers.
-    fn close(
+    fn close_portion(
         &mut self,
         key: PortionKey,
         refused: Refused,
@@ -164,7 +169,7 @@
     /// Most calls end before this timer, and their connections stay open. Without the timer a call
     /// at a hanging server would occupy its connection until the caller's deadline, and the server
     /// would go on working for a caller that has left.
-    pub(super) fn abandon(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
+    pub(super) fn abandon_call(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
