--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -64,7 +64,7 @@
             round: job.work.round,
             service: portion.service.clone(),
         };
-        if !self.deliveries.insert(self.now, delivery) {
+        if !self.recent_deliveries.insert(self.now, delivery) {
             Self::count(count::Event::Drop, Reason::RepeatedKey, out);
             self.settle_portion(job, out);
             return;
@@ -89,7 +89,7 @@
         if finding == Some(Finding::Repeated) {
             return Err(Refused::repeated());
         }
-        if self.cancelled.contains(&job.query()) {
+        if self.cancelled_queries.contains(&job.query()) {
             return Err(Refused::because(Reason::Cancelled));
         }
         if self.draining {
@@ -166,7 +166,7 @@
     fn reply_deadline(&self, job: &Job) -> Result<Instant, Refused> {
         let budget = Duration::from_micros(job.work.budget_us);
         let margin = MAX_REPLY_MARGIN.min(budget / 20);
-        let pause = self.gap.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
+        let pause = self.last_pause.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
         let pause_length = pause.map_or(Duration::ZERO, |pause| pause.length);
         if budget.is_zero() {
             return Err(Refused::because(Reason::Expired));
@@ -318,7 +318,7 @@
         let query = Query { from, incarnation: cancel.incarnation, number: cancel.query };
         let keys = self.queries.remove(&query).unwrap_or_default();
         self.drop_aggregations(&keys);
-        self.cancelled.insert(self.now, query);
+        self.cancelled_queries.insert(self.now, query);
         for key in keys {
             let verdict = self.current_verdict(key);
             self.refuse_portion(key, Refused::with(verdict, Reason::Cancelled), out);
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -6,7 +6,7 @@
 
 use super::event::{Action, LaneKey};
 use super::lane::{Lane, State};
-use super::machine::{Machine, UPKEEP};
+use super::machine::{MAINTENANCE_INTERVAL, Machine};
 use super::server::ServerKey;
 use super::service::{Rank, ServiceId};
 use super::timer::Timer;
@@ -230,7 +230,7 @@
     }
 
     /// Periodic maintenance of a service: expiry of old records, connections, load report requests.
-    pub(super) fn upkeep(&mut self, id: ServiceId, out: &mut Vec<Action>) {
+    pub(super) fn maintain_service(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         if !self.services.contains_key(id) {
             return;
         }
@@ -240,7 +240,7 @@
         self.probe(id, out);
         self.mark_changed(id);
         if !self.remove_unused(id) {
-            self.timers.push(self.now + UPKEEP, Timer::Upkeep(id));
+            self.timers.push(self.now + MAINTENANCE_INTERVAL, Timer::Maintenance(id));
         }
     }
 
@@ -263,7 +263,7 @@
             let Some(lane) = self.idle_lane(key) else {
                 continue;
             };
-            self.servers[key].probe_at = self.now + UPKEEP;
+            self.servers[key].probe_at = self.now + MAINTENANCE_INTERVAL;
             self.servers[key].probe_lane = Some(lane);
             self.lanes[lane].state = State::Control;
             out.push(Action::Probe { lane, server: name });
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -20,7 +20,7 @@
 use super::settings::Settings;
 use super::siblings::{Siblings, SiblingsKey};
 use super::timer::{Timer, Timers};
-use super::warmup::Fleet;
+use super::warmup::KnownInstances;
 use crate::collections::Map;
 use crate::count::{self, Count};
 use crate::time::Instant;
@@ -28,7 +28,7 @@
 use ladder_schema::outcome::Reason;
 
 /// Interval between two rounds of periodic maintenance of a service.
-pub(super) const UPKEEP: Duration = Duration::from_secs(1);
+pub(super) const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Identity of one delivery of one portion, for dropping duplicate deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -55,7 +55,7 @@
 
 /// The most recent pause of the process: when the pause ended and how long it lasted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Gap {
+pub(super) struct Pause {
     pub(super) ended: Instant,
     pub(super) length: Duration,
 }
@@ -81,13 +81,13 @@
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     /// Portions without a reply yet, by query.
     pub(super) queries: Map<Query, Vec<PortionKey>>,
-    pub(super) deliveries: Recent<Delivery>,
+    pub(super) recent_deliveries: Recent<Delivery>,
     /// Queries that their entry instance cancelled.
     ///
     /// A cancellation may overtake the work that it cancels. The entry then considers the query
     /// closed, while the work that arrives later would still run; this tombstone makes the machine
     /// refuse that work.
-    pub(super) cancelled: Recent<Query>,
+    pub(super) cancelled_queries: Recent<Query>,
     pub(super) records: Records,
     /// Call times by kind of work over all services: the initial estimate for a service that this
     /// instance has no samples of yet.
@@ -96,13 +96,13 @@
     pub(super) siblings: SlotMap<SiblingsKey, Siblings>,
     pub(super) crashes: Crashes,
     /// Instances among which the request rate of servers in warm-up is divided.
-    pub(super) fleet: Fleet,
+    pub(super) known_instances: KnownInstances,
     pub(super) timers: Timers,
     pub(super) random: Random,
     /// Number of the most recent target request.
     pub(super) sequence: u64,
     pub(super) draining: bool,
-    pub(super) gap: Option<Gap>,
+    pub(super) last_pause: Option<Pause>,
     /// Services whose queue or servers changed while the current event was handled.
     ///
     /// Invariant: contains every service whose `is_changed` flag is set, and possibly services that
@@ -124,19 +124,19 @@
             portions: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             queries: Map::default(),
-            deliveries: Recent::default(),
-            cancelled: Recent::default(),
+            recent_deliveries: Recent::default(),
+            cancelled_queries: Recent::default(),
             records: Records::default(),
             kinds: Kinds::default(),
             aggregations: SlotMap::default(),
             siblings: SlotMap::default(),
             crashes: Crashes::default(),
-            fleet: Fleet::default(),
+            known_instances: KnownInstances::default(),
             timers: Timers::default(),
             random: Random::new(settings.seed),
             sequence: 0,
             draining: false,
-            gap: None,
+            last_pause: None,
             changed_services: Vec::new(),
             settings,
         }
@@ -177,7 +177,7 @@
             Event::Ended { attempt, outcome } => self.handle_call_end(attempt, outcome, out),
             Event::Load { server, load } => self.handle_load_report(&server, load, out),
             Event::View(view) => self.handle_view(&view, out),
-            Event::Paused(gap) => self.handle_pause(gap, out),
+            Event::Paused(length) => self.handle_pause(length, out),
             Event::Drain => self.draining = true,
             Event::Tick => {}
         }
@@ -195,7 +195,7 @@
                 Timer::Late(portion) => self.refuse_if_too_late(portion, out),
                 Timer::Hedge(portion) => self.hedge_due(portion),
                 Timer::Dispatch(service) => self.resume_service(service, out),
-                Timer::Upkeep(service) => self.upkeep(service, out),
+                Timer::Maintenance(service) => self.maintain_service(service, out),
                 Timer::Abandon(attempt) => self.abandon_call(attempt, out),
                 Timer::Aggregation(key) => self.aggregation_due(key, out),
             }
@@ -212,7 +212,7 @@
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
                 Timer::Abandon(attempt) => !self.attempts.contains_key(attempt),
                 Timer::Aggregation(key) => !self.aggregations.contains_key(key),
-                Timer::Dispatch(service) | Timer::Upkeep(service) => {
+                Timer::Dispatch(service) | Timer::Maintenance(service) => {
                     !self.services.contains_key(service)
                 }
             };
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -8,7 +8,7 @@
 
 use super::event::Action;
 use super::lane;
-use super::machine::{Gap, Machine, UPKEEP};
+use super::machine::{MAINTENANCE_INTERVAL, Machine, Pause};
 use super::portion::PortionKey;
 use super::reply::Refused;
 use super::server::{Server, ServerKey};
@@ -22,7 +22,7 @@
     pub(super) fn handle_view(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let others = view.neighbours.iter().map(|neighbour| &neighbour.peer.name);
-        if self.fleet.observe(self.now, others.chain([&self.settings.name])) {
+        if self.known_instances.observe(self.now, others.chain([&self.settings.name])) {
             self.update_warmup_quotas();
         }
         for (key, listed) in &view.services {
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Adds a service that is new to this instance and schedules its periodic upkeep.
+    /// Adds a service that is new to this instance and schedules its periodic maintenance.
     fn insert_service(&mut self, listed: &view::Service) -> ServiceId {
         let id = self.services.insert(Service::new(listed, &self.settings.name, self.now));
         self.service_ids.insert(Arc::clone(&listed.name), id);
-        let first = self.now + self.random.jitter(UPKEEP);
-        self.timers.push(first, Timer::Upkeep(id));
+        let first = self.now + self.random.jitter(MAINTENANCE_INTERVAL);
+        self.timers.push(first, Timer::Maintenance(id));
         id
     }
 
@@ -216,7 +216,7 @@
     /// another instance may have become the owner of the services since then. Non-idempotent
     /// portions and portions past their deadline are therefore refused.
     pub(super) fn handle_pause(&mut self, length: Duration, out: &mut Vec<Action>) {
-        self.gap = Some(Gap { ended: self.now, length });
+        self.last_pause = Some(Pause { ended: self.now, length });
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
             let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
--- a/crates/core/src/leaf/timer.rs
+++ b/crates/core/src/leaf/timer.rs
@@ -21,7 +21,7 @@
     /// The back-off of one of the service's servers ends.
     Dispatch(ServiceId),
     /// Periodic maintenance of a service: load reports, idle connections, old records.
-    Upkeep(ServiceId),
+    Maintenance(ServiceId),
     /// The connection of an abandoned call is to be closed.
     Abandon(AttemptKey),
     /// The replies gathered by a partial aggregation must be sent to the entry.
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -76,7 +76,7 @@
 
 /// The instances among which a warm-up limit is divided.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Fleet {
+pub(super) struct KnownInstances {
     /// Names in the largest list of instances known recently, including this instance.
     names: Vec<Arc<str>>,
     /// Time at which this list of instances was last current.
@@ -85,7 +85,7 @@
     started: Option<Instant>,
 }
 
-impl Fleet {
+impl KnownInstances {
     /// Records the instances known now. Returns whether the list among which limits are divided has
     /// changed.
     pub(super) fn observe<'a>(
@@ -187,7 +187,7 @@
             return Instant::default();
         };
         let quota = match service.asks() {
-            _ if !self.fleet.knows_fleet(self.now) => 0,
+            _ if !self.known_instances.knows_fleet(self.now) => 0,
             Some(Asker::ForAll) => limit.fleet_sender_quota(),
             Some(Asker::ForItself) => server.warmup.quota,
             None => 0,
@@ -214,7 +214,7 @@
             return;
         };
         if !server.warmup.is_over(self.now) {
-            let names = self.fleet.names();
+            let names = self.known_instances.names();
             server.warmup.quota = limit.quota(&server.name, &self.settings.name, names);
             let (service, until) = (server.service, server.warmup.until);
             self.schedule_dispatch(service, until);
