--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -105,7 +105,7 @@
         let id = id.ok_or_else(|| Refused::because(self.unowned_reason()))?;
         self.services[id].wanted = Some(self.now);
         if job.from.name != self.settings.name {
-            self.services[id].asked(self.now);
+            self.services[id].record_handover(self.now);
         }
         if finding == Some(Finding::Unproven) {
             return Err(Refused::repeated());
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -47,7 +47,7 @@
 
 /// On whose behalf an instance sends work to a service's servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
+pub(super) enum Sender {
     ForAll,
     ForItself,
 }
@@ -105,7 +105,7 @@
     /// This instance's share of the fleet's budget for extra calls.
     extra_call_shares: ExtraCallShares,
     /// Time at which another instance last handed over work; `None` if it expired.
-    asked: Option<Instant>,
+    last_handover: Option<Instant>,
     /// Time at which work was last accepted.
     pub(super) last_work: Instant,
     /// Time at which work last arrived, refused or not; `None` before the first.
@@ -134,7 +134,7 @@
             spare: listed.spare,
             owned: listed.candidates.len() > 1,
             extra_call_shares: ExtraCallShares::of(listed, own),
-            asked: None,
+            last_handover: None,
             last_work: Instant::default(),
             wanted: None,
         }
@@ -151,13 +151,13 @@
 
     /// On whose behalf this instance sends work to the service's servers: for all instances or for
     /// itself alone; `None` if another instance sends the work.
-    pub(super) fn asks(&self) -> Option<Asker> {
+    pub(super) fn sender(&self) -> Option<Sender> {
         match (self.scarce, self.rank) {
-            (true, _) if self.asked.is_some() => Some(Asker::ForAll),
+            (true, _) if self.last_handover.is_some() => Some(Sender::ForAll),
             (true, _) => None,
-            (false, Rank::Owner) if self.owned => Some(Asker::ForAll),
+            (false, Rank::Owner) if self.owned => Some(Sender::ForAll),
             (false, _) if self.owned => None,
-            (false, _) => Some(Asker::ForItself),
+            (false, _) => Some(Sender::ForItself),
         }
     }
 
@@ -178,8 +178,8 @@
     }
 
     /// Records that another instance handed over work.
-    pub(super) fn asked(&mut self, now: Instant) {
-        if self.asked.replace(now).is_none() {
+    pub(super) fn record_handover(&mut self, now: Instant) {
+        if self.last_handover.replace(now).is_none() {
             self.apply_extra_call_share();
         }
     }
@@ -187,14 +187,14 @@
     /// Ends this instance's role of sending work for others when no instance has handed over work
     /// for [`HANDOVER_MEMORY`].
     pub(super) fn expire_handover(&mut self, now: Instant) {
-        if self.asked.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
-            self.asked = None;
+        if self.last_handover.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
+            self.last_handover = None;
             self.apply_extra_call_share();
         }
     }
 
     fn apply_extra_call_share(&mut self) {
-        let sends_for_all = self.scarce && self.asked.is_some();
+        let sends_for_all = self.scarce && self.last_handover.is_some();
         self.budget.allow(if sends_for_all {
             self.extra_call_shares.sends_for_all
         } else {
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -14,7 +14,7 @@
 
 use super::machine::Machine;
 use super::server::ServerKey;
-use super::service::Asker;
+use super::service::Sender;
 use crate::control::hash;
 use crate::time::Instant;
 
@@ -186,10 +186,10 @@
         let Some(limit) = WarmupLimit::of(&service.limits()) else {
             return Instant::default();
         };
-        let quota = match service.asks() {
+        let quota = match service.sender() {
             _ if !self.known_instances.knows_fleet(self.now) => 0,
-            Some(Asker::ForAll) => limit.fleet_sender_quota(),
-            Some(Asker::ForItself) => server.warmup.quota,
+            Some(Sender::ForAll) => limit.fleet_sender_quota(),
+            Some(Sender::ForItself) => server.warmup.quota,
             None => 0,
         };
         server.warmup.next_request_at(quota)
