--- a/crates/core/src/leaf/admission.rs
+++ b/crates/core/src/leaf/admission.rs
@@ -80,14 +80,14 @@
 impl Admission {
     /// Counts an arriving portion, whether or not it is accepted.
     pub(super) fn record_arrival(&mut self, now: Instant, class: Class) {
-        let flow = &mut self.flows[class.place()];
+        let flow = &mut self.flows[class.index()];
         flow.decay(now);
         flow.offered += 1.0;
     }
 
     /// Counts a portion that is sent to a server for the first time.
     pub(super) fn record_dispatch(&mut self, now: Instant, class: Class) {
-        let flow = &mut self.flows[class.place()];
+        let flow = &mut self.flows[class.index()];
         flow.decay(now);
         flow.dispatched += 1.0;
     }
@@ -101,7 +101,7 @@
         wait: Duration,
         budget: Duration,
     ) -> bool {
-        let dispatched_ratio = self.flows[class.place()].dispatched_ratio();
+        let dispatched_ratio = self.flows[class.index()].dispatched_ratio();
         let headroom = ((dispatched_ratio - OVERLOAD_RATIO) / (1.0 - OVERLOAD_RATIO)).max(0.0);
         let limit = budget.mul_f64(OVERLOAD_WAIT + EXTRA_WAIT * headroom);
         let spare_wait = 1.0 - wait.as_secs_f64() / limit.as_secs_f64().max(1e-6);
--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -32,11 +32,11 @@
     pub(super) sent: Instant,
     pub(super) timeout: Duration,
     /// Record of the request key; `Some` for non-idempotent requests only.
-    pub(super) record: Option<record::Name>,
+    pub(super) record: Option<record::Key>,
     /// Whether the answer is no longer needed because the portion already has a reply; never set
     /// for non-idempotent calls. An error or loss of such a call is not counted as a failure, and
     /// its call time is not learned.
-    pub(super) given_up: bool,
+    pub(super) abandoned: bool,
 }
 
 /// Difference between an answer and its request.
--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -217,7 +217,8 @@
         let poison = self.crashes.poison_requests();
         let is_poison = |portion: &Portion| {
             let request = portion.job.fingerprint;
-            portion.place.is_some() && request.is_some_and(|request| poison.contains(&request))
+            portion.queue_position.is_some()
+                && request.is_some_and(|request| poison.contains(&request))
         };
         let waiting = self.portions.iter().filter(|(_, portion)| is_poison(portion));
         let waiting: Vec<PortionKey> = waiting.map(|(key, _)| key).collect();
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -148,7 +148,7 @@
     fn misses_objective(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
         let fast_call = self.fast_call_time(portion.service, portion.kind);
-        let timely = portion.place.is_some_and(|place| !place.is_late());
+        let timely = portion.queue_position.is_some_and(|position| !position.is_late());
         timely && portion.timely_at.is_some_and(|at| self.now + fast_call >= at)
     }
 
@@ -156,10 +156,10 @@
     fn move_to_late_class(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
         let queue = &mut self.services[portion.service].queue;
-        if let Some(place) = portion.place.take() {
-            queue.remove(place);
+        if let Some(position) = portion.queue_position.take() {
+            queue.remove(position);
         }
-        portion.place = Some(queue.push(Class::LATE, portion.arrived, key));
+        portion.queue_position = Some(queue.push(Class::LATE, portion.arrived, key));
     }
 
     /// Selects the server for the next call of a portion, with the configured strategy.
@@ -206,13 +206,15 @@
             }
             let server = &self.servers[candidate];
             if suspects.contains(&candidate) {
-                let trial_allowed = !portion.unrepeatable && !portion.tried.contains(&candidate);
+                let trial_allowed =
+                    !portion.unrepeatable && !portion.tried_servers.contains(&candidate);
                 if trial_allowed && self.ready_for_trial(server) {
                     return Some(candidate);
                 }
                 continue;
             }
-            let cost = self.cost(id, portion.kind, server, portion.tried.contains(&candidate));
+            let cost =
+                self.cost(id, portion.kind, server, portion.tried_servers.contains(&candidate));
             if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, candidate));
             }
@@ -239,7 +241,7 @@
     fn already_shed(&self, key: PortionKey, candidate: ServerKey) -> bool {
         let portion = &self.portions[key];
         let sheds = |server: ServerKey| {
-            self.servers[server].health.sheds() && portion.tried.contains(&server)
+            self.servers[server].health.sheds() && portion.tried_servers.contains(&server)
         };
         let takes = |key: &ServerKey| {
             let server = &self.servers[*key];
@@ -339,10 +341,10 @@
         let portion = &mut self.portions[key];
         let first = portion.calls == 0;
         let id = portion.service;
-        let place = portion.place.take();
+        let position = portion.queue_position.take();
         let service = &mut self.services[id];
-        if let Some(place) = place {
-            service.queue.dispatch(place);
+        if let Some(position) = position {
+            service.queue.dispatch(position);
         }
         if first {
             if !portion.repeated {
@@ -375,7 +377,7 @@
             sent: self.now,
             timeout,
             record: portion.unrepeatable.then(|| portion.record()),
-            given_up: false,
+            abandoned: false,
         };
         self.call_began(&call);
         self.record_warmup_request(to);
@@ -384,7 +386,7 @@
         let portion = &mut self.portions[key];
         portion.trials.push(trial);
         portion.attempts.push(attempt);
-        portion.tried.push(to);
+        portion.tried_servers.push(to);
         portion.calls += 1;
         self.services[portion.service].in_flight += 1;
         self.servers[to].in_flight += 1;
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -171,7 +171,7 @@
                 }
                 let server = &mut self.servers[attempt.server];
                 server.health.answered(self.now, elapsed, usual);
-                if !attempt.given_up {
+                if !attempt.abandoned {
                     self.learn_time(attempt.service, attempt.kind, elapsed);
                 }
             }
@@ -180,7 +180,7 @@
                 let advice = Duration::from_millis(refusal.retry_after_ms.into());
                 self.record_refusal(attempt, reason, advice, out);
             }
-            Outcome::Error | Outcome::Lost if !attempt.given_up => {
+            Outcome::Error | Outcome::Lost if !attempt.abandoned => {
                 let server = &mut self.servers[attempt.server];
                 server.health.failed(self.now, &mut self.random);
                 let until = server.health.paused_until();
@@ -247,7 +247,7 @@
             return;
         }
         portion.failures += 1;
-        portion.spared += u32::from(verdict == Verdict::NotRun);
+        portion.proved_not_run += u32::from(verdict == Verdict::NotRun);
         portion.may_have_run |= verdict == Verdict::MayHaveRun;
         if !portion.attempts.is_empty() {
             return;
@@ -282,7 +282,7 @@
         let eligible = portion.eligible.as_deref();
         let check = self.check_servers(portion.service, work, eligible, portion.deadline);
         check.map_err(|refused| Refused { verdict: portion_verdict, ..refused })?;
-        if !portion.may_go_out() {
+        if !portion.may_be_sent_again() {
             return Err(Refused::with(portion_verdict, reason));
         }
         let limits = self.services[portion.service].limits();
@@ -309,7 +309,7 @@
         if matches!(outcome, Outcome::Answer(_)) {
             Self::count(count::Event::Drop, Reason::StaleAnswer, out);
         }
-        let Some(name) = &attempt.record else {
+        let Some(key) = &attempt.record else {
             return;
         };
         let state = match verdict::of(outcome) {
@@ -319,7 +319,7 @@
             Verdict::NotRun => record::State::Withdrawn,
             _ => record::State::MayHaveRun,
         };
-        self.records.settle(self.now, name, state);
+        self.records.settle(self.now, key, state);
     }
 
     /// Refuses queued portions that no server of the service can take any more.
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -122,7 +122,7 @@
     fn is_hedge_useful(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
         let mean = self.mean(portion.service, portion.kind).unwrap_or_default();
-        let in_time = self.now + mean / 2 < portion.deadline && portion.may_go_out();
+        let in_time = self.now + mean / 2 < portion.deadline && portion.may_be_sent_again();
         in_time && portion.job.work.extra_calls + portion.calls <= MAX_EXTRA_CALLS_PER_QUERY
     }
 
@@ -139,7 +139,7 @@
             healthy
                 && free
                 && !server.cold(self.now)
-                && !portion.tried.contains(candidate)
+                && !portion.tried_servers.contains(candidate)
                 && self.is_eligible_for(key, *candidate)
                 && self.can_send(*candidate)
                 && self.serves_version(*candidate, work)
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -146,8 +146,8 @@
         if !is_unrepeatable(&self.services[id], &job.work) {
             return None;
         }
-        let name = record::Name { service: id, key: Arc::clone(&job.key) };
-        Some(self.records.find(&name, job.work.attempt))
+        let key = record::Key { service: id, key: Arc::clone(&job.key) };
+        Some(self.records.find(&key, job.work.attempt))
     }
 
     /// Reason to refuse work for a service of which this instance is no candidate.
@@ -248,17 +248,17 @@
             shards: portion.shards.into(),
             arrived: self.now,
             deadline,
-            place: None,
+            queue_position: None,
             unrepeatable: is_unrepeatable(service, &job.work),
             class: urgency_class(service, &job.work),
             kind: work_kind(&job.work),
             timely_at: latency_objective(self.now, &job.work),
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             trials: Vec::new(),
             calls: 0,
             failures: 0,
-            spared: 0,
+            proved_not_run: 0,
             may_have_run: false,
             hedged: false,
         };
@@ -279,7 +279,7 @@
     /// Whether a portion is in the queue of its service, without an open call.
     pub(super) fn is_queued(&self, key: PortionKey) -> bool {
         let portion = self.portions.get(key);
-        portion.is_some_and(|portion| portion.place.is_some())
+        portion.is_some_and(|portion| portion.queue_position.is_some())
     }
 
     /// Refuses a portion that is still queued when too little time is left to answer it, so that
@@ -294,13 +294,13 @@
     /// Puts a portion without an open call into the queue of its service.
     pub(super) fn push_to_queue(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
-        let (class, turn) = match portion.timely_at {
+        let (class, order_key) = match portion.timely_at {
             Some(timely_at) if self.now < timely_at => (Class::TIMED, timely_at),
             Some(_) => (Class::LATE, portion.arrived),
-            None => (portion.class, queue::turn(portion.arrived, portion.deadline)),
+            None => (portion.class, queue::order_key(portion.arrived, portion.deadline)),
         };
         let service = &mut self.services[portion.service];
-        portion.place = Some(service.queue.push(class, turn, key));
+        portion.queue_position = Some(service.queue.push(class, order_key, key));
         let id = portion.service;
         let work = service.in_flight as usize + service.queue.len();
         service.peak.add(self.now, work.div_ceil(service.servers.len().max(1)));
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -79,7 +79,7 @@
     ///
     /// Invariant: `Some` exactly while the queue of the service contains the portion, and then
     /// `attempts` is empty.
-    pub(super) place: Option<queue::Place>,
+    pub(super) queue_position: Option<queue::Position>,
     /// Whether the portion is non-idempotent: it may be sent again only on proof that it did not
     /// run.
     pub(super) unrepeatable: bool,
@@ -92,7 +92,7 @@
     /// Open calls of the portion.
     pub(super) attempts: Vec<AttemptKey>,
     /// Servers that the portion was sent to, so that a retry selects another one.
-    pub(super) tried: Vec<ServerKey>,
+    pub(super) tried_servers: Vec<ServerKey>,
     /// Calls of the portion with the inputs of each decision, oldest first.
     pub(super) trials: Vec<Trial>,
     /// Number of calls made to targets for the portion.
@@ -100,7 +100,7 @@
     /// Number of the portion's calls that ended without an answer.
     pub(super) failures: u32,
     /// Number of the portion's calls that are proved not to have run.
-    pub(super) spared: u32,
+    pub(super) proved_not_run: u32,
     /// Whether one of the portion's calls ended without proof that it did not run.
     pub(super) may_have_run: bool,
     /// Whether a hedged call was sent for the portion.
@@ -117,13 +117,13 @@
     }
 
     /// Whether the attempt limit of the portion's route allows one more call.
-    pub(super) fn may_go_out(&self) -> bool {
+    pub(super) fn may_be_sent_again(&self) -> bool {
         let forward = self.job.work.forward.as_ref();
-        forward.is_none_or(|forward| self.calls - self.spared < forward.attempts)
+        forward.is_none_or(|forward| self.calls - self.proved_not_run < forward.attempts)
     }
 
-    /// Name under which the outcome of the portion is recorded.
-    pub(super) fn record(&self) -> record::Name {
-        record::Name { service: self.service, key: Arc::clone(&self.job.key) }
+    /// Key under which the outcome of the portion is recorded.
+    pub(super) fn record(&self) -> record::Key {
+        record::Key { service: self.service, key: Arc::clone(&self.job.key) }
     }
 }
--- a/crates/core/src/leaf/queue.rs
+++ b/crates/core/src/leaf/queue.rs
@@ -28,7 +28,7 @@
 
 /// Key by which a portion is ordered within its urgency class: arrival time plus a fraction
 /// ([`DEFERRAL`]) of the time to the deadline.
-pub(super) fn turn(arrived: Instant, deadline: Instant) -> Instant {
+pub(super) fn order_key(arrived: Instant, deadline: Instant) -> Instant {
     arrived + deadline.since(arrived).mul_f64(DEFERRAL)
 }
 
@@ -44,7 +44,7 @@
     pub(super) const LATE: Self = Self(3);
 
     /// Index of the class in an array over all classes.
-    pub(super) fn place(self) -> usize {
+    pub(super) fn index(self) -> usize {
         self.0
     }
 }
@@ -61,13 +61,13 @@
 
 /// Position of a portion in a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Place {
+pub(super) struct Position {
     class: Class,
-    turn: Instant,
+    order_key: Instant,
     sequence: u64,
 }
 
-impl Place {
+impl Position {
     /// Whether the portion is queued behind all work that can still be answered in time.
     pub(super) fn is_late(&self) -> bool {
         self.class == Class::LATE
@@ -77,8 +77,8 @@
 /// Queue of the waiting portions of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
-    /// Waiting portions of each class, ordered by [`turn`] (arrival plus a fraction of the time to
-    /// the deadline), then by order of arrival.
+    /// Waiting portions of each class, ordered by [`order_key`] (arrival plus a fraction of the time
+    /// to the deadline), then by order of arrival.
     classes: [BTreeMap<(Instant, u64), PortionKey>; CLASSES],
     /// Number of portions queued so far.
     sequence: u64,
@@ -102,15 +102,15 @@
         self.classes[..=class.0].iter().map(BTreeMap::len).sum()
     }
 
-    pub(super) fn push(&mut self, class: Class, turn: Instant, key: PortionKey) -> Place {
+    pub(super) fn push(&mut self, class: Class, order_key: Instant, key: PortionKey) -> Position {
         self.sequence += 1;
         let sequence = self.sequence;
-        self.classes[class.0].insert((turn, sequence), key);
-        Place { class, turn, sequence }
+        self.classes[class.0].insert((order_key, sequence), key);
+        Position { class, order_key, sequence }
     }
 
-    pub(super) fn remove(&mut self, place: Place) {
-        self.classes[place.class.0].remove(&(place.turn, place.sequence));
+    pub(super) fn remove(&mut self, position: Position) {
+        self.classes[position.class.0].remove(&(position.order_key, position.sequence));
     }
 
     /// The waiting portion of a class that is dispatched first.
@@ -129,11 +129,11 @@
 
     /// Removes a dispatched portion and counts consecutive dispatches that passed over a waiting
     /// lower class.
-    pub(super) fn dispatch(&mut self, place: Place) {
-        let class = place.class.0;
+    pub(super) fn dispatch(&mut self, position: Position) {
+        let class = position.class.0;
         let highest = self.first_waiting(0).unwrap_or(class);
         let lower_is_waiting = self.first_waiting(class + 1).is_some();
-        self.remove(place);
+        self.remove(position);
         if class > highest {
             self.last_lower_class = class;
             self.consecutive_passes = 0;
--- a/crates/core/src/leaf/record.rs
+++ b/crates/core/src/leaf/record.rs
@@ -31,7 +31,7 @@
 
 /// Key of a record: service and request key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Name {
+pub(super) struct Key {
     pub(super) service: ServiceId,
     pub(super) key: Arc<str>,
 }
@@ -60,10 +60,10 @@
 /// Records of non-idempotent requests, bounded in number and age.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Records {
-    records: Map<Name, Record>,
+    records: Map<Key, Record>,
     /// Record keys in order of their last change. An element whose record has changed since is
     /// stale.
-    order: VecDeque<(Instant, u64, Name)>,
+    order: VecDeque<(Instant, u64, Key)>,
     sequence: u64,
 }
 
@@ -74,9 +74,9 @@
     /// higher attempt number. A record `NotRun` does not prove that the earlier attempt ran
     /// nowhere: after such a reply the entry may have sent that attempt to another candidate, where
     /// it ran. Only `Withdrawn` for the attempt just before is proof.
-    pub(super) fn find(&self, name: &Name, attempt: u32) -> Finding {
+    pub(super) fn find(&self, key: &Key, attempt: u32) -> Finding {
         let attempt = attempt.max(1);
-        let Some(record) = self.records.get(name) else {
+        let Some(record) = self.records.get(key) else {
             return match attempt {
                 1 => Finding::Free,
                 _ => Finding::Unproven,
@@ -93,17 +93,17 @@
     }
 
     /// Records that a request is queued.
-    pub(super) fn start(&mut self, now: Instant, name: Name, attempt: u32) {
-        self.write(now, name, State::Running, attempt.max(1));
+    pub(super) fn start(&mut self, now: Instant, key: Key, attempt: u32) {
+        self.write(now, key, State::Running, attempt.max(1));
     }
 
     /// Records the outcome of a request.
-    pub(super) fn settle(&mut self, now: Instant, name: &Name, state: State) {
-        let Some(record) = self.records.get(name) else {
+    pub(super) fn settle(&mut self, now: Instant, key: &Key, state: State) {
+        let Some(record) = self.records.get(key) else {
             return;
         };
         let attempt = record.attempt;
-        self.write(now, name.clone(), state, attempt);
+        self.write(now, key.clone(), state, attempt);
     }
 
     /// Drops records older than [`MAX_AGE`].
@@ -116,24 +116,24 @@
         }
     }
 
-    fn write(&mut self, now: Instant, name: Name, state: State, attempt: u32) {
+    fn write(&mut self, now: Instant, key: Key, state: State, attempt: u32) {
         self.sequence += 1;
         let sequence = self.sequence;
         let record = Record { state, attempt, sequence };
-        self.order.push_back((now, sequence, name.clone()));
-        self.records.insert(name, record);
+        self.order.push_back((now, sequence, key.clone()));
+        self.records.insert(key, record);
         while self.records.len() > MAX_RECORDS || self.order.len() > 4 * MAX_RECORDS {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let Some((_, sequence, name)) = self.order.pop_front() else {
+        let Some((_, sequence, key)) = self.order.pop_front() else {
             return;
         };
-        let is_current = self.records.get(&name).is_some_and(|record| record.sequence == sequence);
+        let is_current = self.records.get(&key).is_some_and(|record| record.sequence == sequence);
         if is_current {
-            self.records.remove(&name);
+            self.records.remove(&key);
         }
     }
 }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -119,8 +119,8 @@
 
     fn remove_references(&mut self, key: PortionKey, portion: &Portion) {
         let service = &mut self.services[portion.service];
-        if let Some(place) = portion.place {
-            service.queue.remove(place);
+        if let Some(position) = portion.queue_position {
+            service.queue.remove(position);
         }
         for attempt in &portion.attempts {
             let sent = self.attempts[*attempt].sent;
@@ -144,7 +144,7 @@
         if attempt.record.is_some() {
             return;
         }
-        attempt.given_up = true;
+        attempt.abandoned = true;
         let elapsed = self.now.since(attempt.sent);
         let (service, server, kind) = (attempt.service, attempt.server, attempt.kind);
         let slow_after = self.slow(service, kind);
--- a/crates/core/tests/leaf/queue.rs
+++ b/crates/core/tests/leaf/queue.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn urgent_class_goes_first_then_earliest_turn() {
+fn urgent_class_goes_first_then_earliest_order_key() {
     let mut bed = busy_fixture(100);
     bed.work(with_budget(1, "rounds", 300));
     bed.work(with_budget(2, "sweep", 500));
