--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -158,7 +158,7 @@
         for key in open {
             self.refuse_portion(
                 key,
-                Refused::with(self.current_verdict(key), Reason::Quarantined),
+                Refused::with_verdict(self.current_verdict(key), Reason::Quarantined),
                 out,
             );
         }
@@ -225,7 +225,7 @@
         for key in waiting {
             self.refuse_portion(
                 key,
-                Refused::with(self.current_verdict(key), Reason::TargetLost),
+                Refused::with_verdict(self.current_verdict(key), Reason::TargetLost),
                 out,
             );
         }
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -72,7 +72,8 @@
         let head: Vec<PortionKey> = order.take(DISPATCH_SCAN_LIMIT).collect();
         for key in head {
             if self.too_late(key) {
-                let refused = Refused::with(self.current_verdict(key), Reason::WouldMissDeadline);
+                let refused =
+                    Refused::with_verdict(self.current_verdict(key), Reason::WouldMissDeadline);
                 self.refuse_portion(key, refused, out);
                 return true;
             }
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -274,16 +274,16 @@
         let portion_verdict = portion.verdict();
         let work = &portion.job.work;
         if portion.unrepeatable && portion.may_have_run {
-            return Err(Refused::with(portion_verdict, reason));
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         if portion.failures >= MAX_FAILED_CALLS || self.now >= portion.deadline {
-            return Err(Refused::with(portion_verdict, reason));
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         let eligible = portion.eligible.as_deref();
         let check = self.check_servers(portion.service, work, eligible, portion.deadline);
         check.map_err(|refused| Refused { verdict: portion_verdict, ..refused })?;
         if !portion.may_be_sent_again() {
-            return Err(Refused::with(portion_verdict, reason));
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         let limits = self.services[portion.service].limits();
         let reached_server = reason != Reason::ConnectFailed;
@@ -294,7 +294,7 @@
         let budget = self.services[portion.service].budget.refill(self.now);
         match extra_calls <= MAX_EXTRA_CALLS_PER_QUERY && budget.spend() {
             true => Ok(()),
-            false => Err(Refused::with(portion_verdict, Reason::RetryBudget)),
+            false => Err(Refused::with_verdict(portion_verdict, Reason::RetryBudget)),
         }
     }
 
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -90,19 +90,19 @@
             return Err(Refused::repeated());
         }
         if self.cancelled_queries.contains(&job.query()) {
-            return Err(Refused::because(Reason::Cancelled));
+            return Err(Refused::not_run(Reason::Cancelled));
         }
         if self.draining {
-            return Err(Refused::because(Reason::Draining));
+            return Err(Refused::not_run(Reason::Draining));
         }
         if job
             .fingerprint
             .is_some_and(|fingerprint| self.view.quarantine.refused.contains(&fingerprint))
         {
-            return Err(Refused::because(Reason::Quarantined));
+            return Err(Refused::not_run(Reason::Quarantined));
         }
         let id = id.filter(|id| self.services[*id].rank != Rank::None);
-        let id = id.ok_or_else(|| Refused::because(self.unowned_reason()))?;
+        let id = id.ok_or_else(|| Refused::not_run(self.unowned_reason()))?;
         self.services[id].wanted = Some(self.now);
         if job.from.name != self.settings.name {
             self.services[id].record_handover(self.now);
@@ -136,7 +136,7 @@
         let service = &mut self.services[id];
         let counts = portion.repeated && service.limits().count_refused;
         if counts && !service.budget.refill(self.now).spend() {
-            return Err(Refused::because(Reason::RetryBudget));
+            return Err(Refused::not_run(Reason::RetryBudget));
         }
         Ok(())
     }
@@ -169,10 +169,10 @@
         let pause = self.last_pause.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
         let pause_length = pause.map_or(Duration::ZERO, |pause| pause.length);
         if budget.is_zero() {
-            return Err(Refused::because(Reason::Expired));
+            return Err(Refused::not_run(Reason::Expired));
         }
         if pause_length >= budget - margin {
-            return Err(Refused::because(Reason::Paused));
+            return Err(Refused::not_run(Reason::Paused));
         }
         Ok(self.now + (budget - margin - pause_length))
     }
@@ -188,7 +188,7 @@
         let length = service.queue.len();
         if limit > 0 && length >= limit {
             let wait = self.wait(id, length);
-            return Err(Refused::because(Reason::QueueFull).come_back(wait));
+            return Err(Refused::not_run(Reason::QueueFull).retry_after(wait));
         }
         if !self.settings.queueing {
             return Ok(());
@@ -200,7 +200,7 @@
         let done = self.now + wait + mean;
         if done > deadline {
             let excess = done.since(deadline);
-            return Err(Refused::because(Reason::WouldMissDeadline).come_back(excess));
+            return Err(Refused::not_run(Reason::WouldMissDeadline).retry_after(excess));
         }
         let budget = deadline.since(self.now);
         let wait = wait.max(self.head_wait(id, class));
@@ -208,7 +208,7 @@
         let admission = &self.services[id].admission;
         match admission.admits(class, fraction, wait, budget) {
             true => Ok(()),
-            false => Err(Refused::because(Reason::WouldMissDeadline).come_back(wait)),
+            false => Err(Refused::not_run(Reason::WouldMissDeadline).retry_after(wait)),
         }
     }
 
@@ -287,7 +287,11 @@
     pub(super) fn refuse_if_too_late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
         if self.is_queued(key) {
             let verdict = self.current_verdict(key);
-            self.refuse_portion(key, Refused::with(verdict, Reason::WouldMissDeadline), out);
+            self.refuse_portion(
+                key,
+                Refused::with_verdict(verdict, Reason::WouldMissDeadline),
+                out,
+            );
         }
     }
 
@@ -321,7 +325,7 @@
         self.cancelled_queries.insert(self.now, query);
         for key in keys {
             let verdict = self.current_verdict(key);
-            self.refuse_portion(key, Refused::with(verdict, Reason::Cancelled), out);
+            self.refuse_portion(key, Refused::with_verdict(verdict, Reason::Cancelled), out);
         }
     }
 
@@ -341,7 +345,7 @@
             return;
         }
         let verdict = self.current_verdict(key);
-        self.refuse_portion(key, Refused::with(verdict, Reason::Deadline), out);
+        self.refuse_portion(key, Refused::with_verdict(verdict, Reason::Deadline), out);
     }
 }
 
--- a/crates/core/src/leaf/outlook.rs
+++ b/crates/core/src/leaf/outlook.rs
@@ -53,19 +53,19 @@
             .filter(|key| self.servers[*key].accepts() && self.is_eligible(eligible, *key))
             .collect();
         if accepting.is_empty() {
-            return Err(Refused::because(self.exclusion_reason(id)));
+            return Err(Refused::not_run(self.exclusion_reason(id)));
         }
         let serving: Vec<ServerKey> =
             accepting.into_iter().filter(|key| self.serves_version(*key, work)).collect();
         if serving.is_empty() {
-            return Err(Refused::because(Reason::VersionRetired));
+            return Err(Refused::not_run(Reason::VersionRetired));
         }
         let unreachable = |key: &ServerKey| {
             let server = &self.servers[*key];
             server.in_flight == 0 && server.open_failures >= UNREACHABLE_OPEN_FAILURES
         };
         if serving.iter().all(unreachable) {
-            return Err(Refused::because(Reason::ConnectFailed));
+            return Err(Refused::not_run(Reason::ConnectFailed));
         }
         let earliest = |until: fn(&Self, ServerKey) -> Instant| {
             let first = serving.iter().map(|key| until(self, *key)).min();
@@ -73,10 +73,10 @@
         };
         let shed_wait = earliest(|machine, key| machine.servers[key].health.shed_until());
         if let Some(wait) = shed_wait.filter(|_| self.selects_by_outcome()) {
-            return Err(Refused::because(Reason::TargetShed).come_back(wait));
+            return Err(Refused::not_run(Reason::TargetShed).retry_after(wait));
         }
         match earliest(Self::next_warmup_request_at) {
-            Some(wait) => Err(Refused::because(Reason::WarmingUp).come_back(wait)),
+            Some(wait) => Err(Refused::not_run(Reason::WarmingUp).retry_after(wait)),
             None => Ok(()),
         }
     }
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -143,7 +143,7 @@
     fn refuse_queued(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
         for key in queued {
-            let refused = Refused::with(self.current_verdict(key), Reason::NotOwner);
+            let refused = Refused::with_verdict(self.current_verdict(key), Reason::NotOwner);
             self.refuse_portion(key, refused, out);
         }
     }
@@ -223,7 +223,7 @@
             for key in queued {
                 let portion = &self.portions[key];
                 if portion.unrepeatable || portion.deadline <= self.now {
-                    let refused = Refused::with(portion.verdict(), Reason::Paused);
+                    let refused = Refused::with_verdict(portion.verdict(), Reason::Paused);
                     self.refuse_portion(key, refused, out);
                 }
             }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -24,21 +24,21 @@
 
 impl Refused {
     /// A refusal of work that did not run.
-    pub(super) fn because(reason: Reason) -> Self {
-        Self::with(Verdict::NotRun, reason)
+    pub(super) fn not_run(reason: Reason) -> Self {
+        Self::with_verdict(Verdict::NotRun, reason)
     }
 
-    pub(super) fn with(verdict: Verdict, reason: Reason) -> Self {
+    pub(super) fn with_verdict(verdict: Verdict, reason: Reason) -> Self {
         Self { verdict, reason, retry_after: Duration::ZERO }
     }
 
     /// A refusal of a request whose earlier delivery may have run.
     pub(super) fn repeated() -> Self {
-        Self::with(Verdict::MayHaveRun, Reason::RepeatedKey)
+        Self::with_verdict(Verdict::MayHaveRun, Reason::RepeatedKey)
     }
 
     /// Sets the delay after which the entry may retry, at least 1 ms.
-    pub(super) fn come_back(mut self, after: Duration) -> Self {
+    pub(super) fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after.max(Duration::from_millis(1));
         self
     }
@@ -77,7 +77,7 @@
         parts: Vec<call::Part>,
         out: &mut Vec<Action>,
     ) {
-        let answered = Refused::with(Verdict::Ran, Reason::Unspecified);
+        let answered = Refused::with_verdict(Verdict::Ran, Reason::Unspecified);
         self.close_portion(key, answered, parts, true, out);
     }
 
