--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -25,8 +25,8 @@
 use crate::time::Instant;
 use crate::view;
 
-pub(super) use table::{Crashes, Loss};
-use table::{EVIDENCE_MAX_AGE, HOLD_TIME, MAX_LOSSES_PER_SERVER};
+pub(super) use table::{Crashes, LostCall};
+use table::{EVIDENCE_MAX_AGE, HOLD_TIME, MAX_LOST_CALLS_PER_SERVER};
 
 /// Maximum error of the reported time of a termination: reports forwarded by peers may date it this
 /// much too late.
@@ -34,7 +34,7 @@
 
 /// Termination of a server that an instance reported.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Suspicion {
+pub(super) struct ReportedTermination {
     /// Time at which calls at the server lost their connections.
     terminated_at: Instant,
     /// Time at which this instance received the report.
@@ -111,13 +111,13 @@
     /// the report arrived.
     fn refute_termination(&mut self, attempt: &Attempt, out: &mut Vec<Action>) {
         let server = &mut self.servers[attempt.server];
-        let Some(suspicion) = server.suspicion else {
+        let Some(termination) = server.reported_termination else {
             return;
         };
-        let is_older = |since: Instant| since + MAX_TIME_ERROR < suspicion.terminated_at;
+        let is_older = |since: Instant| since + MAX_TIME_ERROR < termination.terminated_at;
         let older = self.lanes.get(attempt.lane).is_some_and(|lane| is_older(lane.since));
-        if older && attempt.sent >= suspicion.received_at {
-            server.suspicion = None;
+        if older && attempt.sent >= termination.received_at {
+            server.reported_termination = None;
             let (server, incarnation) = (Arc::clone(&server.name), server.incarnation);
             out.push(Action::Refuted { server, incarnation });
         }
@@ -137,8 +137,10 @@
         for server in self.servers.values_mut() {
             let end = quarantine.ended.get(&server.name);
             let end = end.filter(|end| end.incarnation == server.incarnation);
-            let received_at = server.suspicion.map_or(self.now, |suspicion| suspicion.received_at);
-            server.suspicion = end.map(|end| Suspicion { terminated_at: end.at, received_at });
+            let received_at =
+                server.reported_termination.map_or(self.now, |termination| termination.received_at);
+            server.reported_termination =
+                end.map(|end| ReportedTermination { terminated_at: end.at, received_at });
         }
         let known = quarantine.refused.iter().chain(&quarantine.suspected);
         let answered = known.filter(|request| self.crashes.was_answered(**request));
@@ -202,7 +204,7 @@
     }
 
     /// Clears the suspicion of a termination when a connection to a server opens.
-    pub(super) fn server_listens(&mut self, key: ServerKey) {
+    pub(super) fn server_accepted_connection(&mut self, key: ServerKey) {
         if self.crashes.has_suspects() {
             self.crashes.clear_suspect(key);
             self.mark_waiting_services();
@@ -243,12 +245,12 @@
     /// Records a lost call as evidence against its request and schedules a dispatch after
     /// [`HOLD_TIME`], until which the portions of the request may be kept queued.
     fn connection_lost(&mut self, key: ServerKey, request: Fingerprint) {
-        let losses = &mut self.servers[key].losses;
-        losses.retain(|loss| loss.request != request);
-        if losses.len() >= MAX_LOSSES_PER_SERVER {
-            losses.remove(0);
+        let lost_calls = &mut self.servers[key].lost_calls;
+        lost_calls.retain(|call| call.request != request);
+        if lost_calls.len() >= MAX_LOST_CALLS_PER_SERVER {
+            lost_calls.remove(0);
         }
-        losses.push(Loss { request, at: self.now });
+        lost_calls.push(LostCall { request, at: self.now });
         self.crashes.add_suspect(self.now, request, key);
         self.schedule_dispatch(self.servers[key].service, self.now + HOLD_TIME);
     }
@@ -272,13 +274,13 @@
         out: &mut Vec<Action>,
     ) {
         let server = &mut self.servers[key];
-        let mut losses = std::mem::take(&mut server.losses);
-        losses.retain(|loss| self.now.since(loss.at) < EVIDENCE_MAX_AGE);
-        if losses.is_empty() {
+        let mut lost_calls = std::mem::take(&mut server.lost_calls);
+        lost_calls.retain(|call| self.now.since(call.at) < EVIDENCE_MAX_AGE);
+        if lost_calls.is_empty() {
             return;
         }
         let incarnation = Incarnation { server: Arc::clone(&server.name), number: incarnation };
-        self.crashes.server_terminated(self.now, key, incarnation, &losses);
+        self.crashes.server_terminated(self.now, key, incarnation, &lost_calls);
         self.report_crashes(out);
     }
 
--- a/crates/core/src/leaf/crash/table.rs
+++ b/crates/core/src/leaf/crash/table.rs
@@ -12,7 +12,7 @@
 /// Maximum age at which a lost connection counts as evidence against the requests that it carried.
 pub(super) const EVIDENCE_MAX_AGE: Duration = Duration::from_secs(5);
 /// Maximum number of lost calls kept per server. A server works on only a few requests at once.
-pub(super) const MAX_LOSSES_PER_SERVER: usize = 16;
+pub(super) const MAX_LOST_CALLS_PER_SERVER: usize = 16;
 
 /// Number of servers suspected to have crashed under a request from which all portions of the
 /// request are kept queued.
@@ -23,7 +23,7 @@
 
 /// A call whose connection was lost before an answer arrived.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::leaf) struct Loss {
+pub(in crate::leaf) struct LostCall {
     pub(super) request: Fingerprint,
     pub(super) at: Instant,
 }
@@ -122,14 +122,14 @@
         now: Instant,
         key: ServerKey,
         incarnation: Incarnation,
-        losses: &[Loss],
+        lost_calls: &[LostCall],
     ) {
         let suspects = self.suspects.values_mut().flatten();
         suspects
             .filter(|suspect| suspect.server == key)
             .for_each(|suspect| suspect.terminated = true);
-        let lost_at = losses.iter().map(|loss| loss.at).min().unwrap_or(now);
-        let requests = losses.iter().map(|loss| loss.request).collect();
+        let lost_at = lost_calls.iter().map(|call| call.at).min().unwrap_or(now);
+        let requests = lost_calls.iter().map(|call| call.request).collect();
         self.pending.push(Crash { incarnation, lost_at, requests, at: now });
     }
 
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -45,7 +45,7 @@
         if was_opening {
             lane.since = self.now;
             self.servers[server].open_failures = 0;
-            self.server_listens(server);
+            self.server_accepted_connection(server);
         }
         self.idle(key, out);
     }
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -8,7 +8,7 @@
 use ladder_schema::target;
 use slotmap::new_key_type;
 
-use super::crash::{Loss, Suspicion};
+use super::crash::{LostCall, ReportedTermination};
 use super::event::{AttemptKey, LaneKey};
 use super::exclusion::{Exclusion, Facts};
 use super::health::Health;
@@ -75,9 +75,9 @@
     /// Calls to cancel as soon as a connection is idle.
     pub(super) queued_cancels: VecDeque<AttemptKey>,
     /// Requests whose calls broke off recently, each request once, oldest first.
-    pub(super) losses: Vec<Loss>,
+    pub(super) lost_calls: Vec<LostCall>,
     /// Reported termination of a process of this server; `None` if none was reported.
-    pub(super) suspicion: Option<Suspicion>,
+    pub(super) reported_termination: Option<ReportedTermination>,
 }
 
 impl Server {
@@ -111,8 +111,8 @@
             probe_at: Instant::default(),
             probe_lane: None,
             queued_cancels: VecDeque::new(),
-            losses: Vec::new(),
-            suspicion: None,
+            lost_calls: Vec::new(),
+            reported_termination: None,
         };
         server.list(now, listed, warmup);
         server
