--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -6,7 +6,7 @@
 use ladder_schema::target;
 
 use super::event::LaneKey;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::portion::{Job, PortionKey};
 use super::record;
 use super::server::ServerKey;
@@ -22,7 +22,7 @@
     pub(super) portion: Option<PortionKey>,
     pub(super) service: ServiceId,
     /// Kind of work of the call, for call time estimates.
-    pub(super) kind: Kind,
+    pub(super) kind: WorkKind,
     pub(super) server: ServerKey,
     pub(super) lane: LaneKey,
     /// Identifier of the target request.
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -11,7 +11,7 @@
 use super::attempt::Attempt;
 use super::event::{Action, LaneKey};
 use super::intake::DEFAULT_CALL_TIME;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::lane;
 use super::machine::Machine;
 use super::portion::PortionKey;
@@ -121,7 +121,7 @@
         if !self.settings.by_need || service.queue.is_empty() {
             return slots;
         }
-        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
+        let mean = service.call_times.all().mean().unwrap_or(DEFAULT_CALL_TIME);
         slots + u32::from(self.oldest_call_age(server) < mean)
     }
 
@@ -284,7 +284,7 @@
 
     /// Cost of sending a call to a server: the expected call time in seconds, multiplied by factors
     /// for load, failures, an earlier failed attempt and another zone.
-    fn cost(&self, id: ServiceId, kind: Kind, server: &Server, tried: bool) -> f64 {
+    fn cost(&self, id: ServiceId, kind: WorkKind, server: &Server, tried: bool) -> f64 {
         let expected_call_time = self.expected_call_time(id, kind, server).as_secs_f64();
         let load = f64::from(server.in_flight) / f64::from(server.capacity(self.now));
         let health = &server.health;
@@ -297,8 +297,8 @@
     }
 
     /// Expected call time at a server, without the calls that already wait there.
-    fn expected_call_time(&self, id: ServiceId, kind: Kind, server: &Server) -> Duration {
-        let mean = self.mean(id, kind).unwrap_or(DEFAULT_CALL_TIME);
+    fn expected_call_time(&self, id: ServiceId, kind: WorkKind, server: &Server) -> Duration {
+        let mean = self.mean_call_time(id, kind).unwrap_or(DEFAULT_CALL_TIME);
         let pace = server.health.pace(self.now).unwrap_or(1.0).max(0.5);
         mean.mul_f64(pace).max(self.oldest_call_age(server))
     }
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -165,14 +165,14 @@
         let elapsed = self.now.since(attempt.sent);
         match outcome {
             Outcome::Answer(answer) => {
-                let usual = self.mean(attempt.service, attempt.kind);
+                let usual = self.mean_call_time(attempt.service, attempt.kind);
                 if let Some(occupancy) = answer.occupancy {
                     self.services[attempt.service].occupied(occupancy);
                 }
                 let server = &mut self.servers[attempt.server];
                 server.health.answered(self.now, elapsed, usual);
                 if !attempt.abandoned {
-                    self.learn_time(attempt.service, attempt.kind, elapsed);
+                    self.record_call_time(attempt.service, attempt.kind, elapsed);
                 }
             }
             Outcome::Refusal(refusal) => {
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -55,7 +55,7 @@
     /// after [`HEDGE_DELAY_TARGET_PERCENT`] of it at the latest.
     pub(super) fn hedge_delay(&self, key: PortionKey) -> Option<Duration> {
         let portion = &self.portions[key];
-        let learned = self.slow(portion.service, portion.kind);
+        let learned = self.slow_call_time(portion.service, portion.kind);
         let forward = portion.job.work.forward.as_ref();
         let target = forward.map_or(0, |forward| forward.target_ms);
         if target == 0 {
@@ -121,7 +121,7 @@
     /// Whether a hedge can still be answered in time and the query has extra calls left.
     fn is_hedge_useful(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
-        let mean = self.mean(portion.service, portion.kind).unwrap_or_default();
+        let mean = self.mean_call_time(portion.service, portion.kind).unwrap_or_default();
         let in_time = self.now + mean / 2 < portion.deadline && portion.may_be_sent_again();
         in_time && portion.job.work.extra_calls + portion.calls <= MAX_EXTRA_CALLS_PER_QUERY
     }
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -9,7 +9,7 @@
 
 use super::admission;
 use super::event::Action;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::machine::{Delivery, Machine, Query};
 use super::portion::{Job, Portion, PortionKey};
 use super::queue::{self, Class};
@@ -193,7 +193,7 @@
         if !self.settings.queueing {
             return Ok(());
         }
-        let Some(mean) = self.mean(id, work_kind(&job.work)) else {
+        let Some(mean) = self.mean_call_time(id, work_kind(&job.work)) else {
             return Ok(());
         };
         let wait = self.wait(id, service.queue.ahead(class));
@@ -222,7 +222,7 @@
     pub(super) fn wait(&self, id: ServiceId, ahead: usize) -> Duration {
         let service = &self.services[id];
         let slots = self.usable_slots(id).max(1);
-        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
+        let mean = service.call_times.all().mean().unwrap_or(DEFAULT_CALL_TIME);
         if ahead == 0 && service.in_flight < slots {
             return Duration::ZERO;
         }
@@ -357,10 +357,10 @@
 
 /// Kind of work for which call times are learned: the route of a forwarded message, else the
 /// operation.
-fn work_kind(work: &wire::Work) -> Kind {
+fn work_kind(work: &wire::Work) -> WorkKind {
     match &work.forward {
-        Some(forward) => Kind(forward.kind),
-        None => Kind(hash::of(&[work.operation.as_bytes()])),
+        Some(forward) => WorkKind(forward.kind),
+        None => WorkKind(hash::of(&[work.operation.as_bytes()])),
     }
 }
 
--- a/crates/core/src/leaf/kinds.rs
+++ b/crates/core/src/leaf/kinds.rs
@@ -22,7 +22,7 @@
 
 /// A kind of work: an operation or a route, by an identifier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct Kind(pub(super) u64);
+pub(super) struct WorkKind(pub(super) u64);
 
 /// Learned call times of one kind of work.
 #[derive(Clone, Debug, Default)]
@@ -60,7 +60,7 @@
     ///
     /// The share of calls that count as slow is slightly less than the share of extra calls that
     /// the budget pays for, so that tokens are available when a straggler appears.
-    fn learn(&mut self, span: Duration, extra_percent: u32) {
+    fn record_call_time(&mut self, span: Duration, extra_percent: u32) {
         self.estimate.add(span);
         let samples = self.estimate.samples();
         if samples >= MIN_SAMPLES && samples.is_multiple_of(QUANTILE_REFRESH_SAMPLES) {
@@ -75,19 +75,19 @@
 
 /// Learned call times of all kinds of work.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Kinds {
-    times: Map<Kind, CallTimes>,
+pub(super) struct CallTimesByKind {
+    times: Map<WorkKind, CallTimes>,
     /// Call times of all kinds of work together.
     all: CallTimes,
 }
 
-impl Kinds {
+impl CallTimesByKind {
     /// Adds a call time of one kind of work.
-    pub(super) fn learn(&mut self, kind: Kind, span: Duration, extra_percent: u32) {
-        self.all.learn(span, extra_percent);
+    pub(super) fn record_call_time(&mut self, kind: WorkKind, span: Duration, extra_percent: u32) {
+        self.all.record_call_time(span, extra_percent);
         let full = self.times.len() >= MAX_KINDS && !self.times.contains_key(&kind);
-        let kind = if full { Kind::default() } else { kind };
-        self.times.entry(kind).or_default().learn(span, extra_percent);
+        let kind = if full { WorkKind::default() } else { kind };
+        self.times.entry(kind).or_default().record_call_time(span, extra_percent);
     }
 
     /// Call times of all kinds of work together.
@@ -96,34 +96,34 @@
     }
 
     /// Call times of one kind of work; `None` if the kind is unknown.
-    pub(super) fn get(&self, kind: Kind) -> Option<&CallTimes> {
+    pub(super) fn get(&self, kind: WorkKind) -> Option<&CallTimes> {
         self.times.get(&kind)
     }
 }
 
 impl Machine {
     /// Adds a call time of a service.
-    pub(super) fn learn_time(&mut self, id: ServiceId, kind: Kind, span: Duration) {
+    pub(super) fn record_call_time(&mut self, id: ServiceId, kind: WorkKind, span: Duration) {
         let service = &mut self.services[id];
-        service.learn(kind, span);
+        service.record_call_time(kind, span);
         let extra = service.limits().extra_percent;
-        self.kinds.learn(kind, span, extra);
+        self.call_times.record_call_time(kind, span, extra);
     }
 
     /// Mean call time of a kind of work; `None` until it is learned. Taken from the service, else
     /// from all services, else from all work of the service.
-    pub(super) fn mean(&self, id: ServiceId, kind: Kind) -> Option<Duration> {
+    pub(super) fn mean_call_time(&self, id: ServiceId, kind: WorkKind) -> Option<Duration> {
         self.lookup(id, kind, CallTimes::mean)
     }
 
     /// Call time after which a call counts as slow and may be hedged; `None` until it is learned.
-    pub(super) fn slow(&self, id: ServiceId, kind: Kind) -> Option<Duration> {
+    pub(super) fn slow_call_time(&self, id: ServiceId, kind: WorkKind) -> Option<Duration> {
         self.lookup(id, kind, CallTimes::slow)
     }
 
     /// Call time that most calls exceed: work with less time left is not started. Zero until it is
     /// learned.
-    pub(super) fn fast_call_time(&self, id: ServiceId, kind: Kind) -> Duration {
+    pub(super) fn fast_call_time(&self, id: ServiceId, kind: WorkKind) -> Duration {
         self.lookup(id, kind, CallTimes::fast).unwrap_or_default()
     }
 
@@ -132,11 +132,13 @@
     fn lookup(
         &self,
         id: ServiceId,
-        kind: Kind,
+        kind: WorkKind,
         statistic: impl Fn(&CallTimes) -> Option<Duration>,
     ) -> Option<Duration> {
-        let at_service = self.services[id].kinds.get(kind).and_then(&statistic);
-        let at_all_services = || self.kinds.get(kind).and_then(&statistic);
-        at_service.or_else(at_all_services).or_else(|| statistic(self.services[id].kinds.all()))
+        let at_service = self.services[id].call_times.get(kind).and_then(&statistic);
+        let at_all_services = || self.call_times.get(kind).and_then(&statistic);
+        at_service
+            .or_else(at_all_services)
+            .or_else(|| statistic(self.services[id].call_times.all()))
     }
 }
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -9,7 +9,7 @@
 use super::attempt::Attempt;
 use super::crash::Crashes;
 use super::event::{Action, AttemptKey, Event, LaneKey};
-use super::kinds::Kinds;
+use super::kinds::CallTimesByKind;
 use super::lane::Lane;
 use super::portion::{Portion, PortionKey};
 use super::random::Random;
@@ -91,7 +91,7 @@
     pub(super) records: Records,
     /// Call times by kind of work over all services: the initial estimate for a service that this
     /// instance has no samples of yet.
-    pub(super) kinds: Kinds,
+    pub(super) call_times: CallTimesByKind,
     pub(super) aggregations: SlotMap<AggregationKey, Aggregation>,
     pub(super) siblings: SlotMap<SiblingsKey, Siblings>,
     pub(super) crashes: Crashes,
@@ -127,7 +127,7 @@
             recent_deliveries: Recent::default(),
             cancelled_queries: Recent::default(),
             records: Records::default(),
-            kinds: Kinds::default(),
+            call_times: CallTimesByKind::default(),
             aggregations: SlotMap::default(),
             siblings: SlotMap::default(),
             crashes: Crashes::default(),
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -8,7 +8,7 @@
 
 use super::aggregate::AggregationKey;
 use super::event::AttemptKey;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::machine::Query;
 use super::queue;
 use super::record;
@@ -86,7 +86,7 @@
     /// Urgency class of the portion.
     pub(super) class: queue::Class,
     /// Kind of work of the portion, for call time estimates.
-    pub(super) kind: Kind,
+    pub(super) kind: WorkKind,
     /// Time by which the answer must be at the entry to have its full value.
     pub(super) timely_at: Option<Instant>,
     /// Open calls of the portion.
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -147,10 +147,10 @@
         attempt.abandoned = true;
         let elapsed = self.now.since(attempt.sent);
         let (service, server, kind) = (attempt.service, attempt.server, attempt.kind);
-        let slow_after = self.slow(service, kind);
+        let slow_after = self.slow_call_time(service, kind);
         if slow && slow_after.is_some_and(|slow_after| elapsed >= slow_after) {
-            let usual = self.mean(service, kind);
-            self.learn_time(service, kind, elapsed);
+            let usual = self.mean_call_time(service, kind);
+            self.record_call_time(service, kind, elapsed);
             let health = &mut self.servers[server].health;
             health.slow(elapsed, usual);
             health.failed(self.now, &mut self.random);
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -9,7 +9,7 @@
 
 use super::admission::Admission;
 use super::budget::{Allowance, Budget};
-use super::kinds::{Kind, Kinds};
+use super::kinds::{CallTimesByKind, WorkKind};
 use super::peak::Peak;
 use super::portion::PortionKey;
 use super::queue::Queue;
@@ -79,7 +79,7 @@
     /// Number of the service's open calls, including calls whose portion already has a reply.
     pub(super) in_flight: u32,
     /// Call times by kind of work over all servers of the service.
-    pub(super) kinds: Kinds,
+    pub(super) call_times: CallTimesByKind,
     /// Moving average of the servers' running and waiting requests divided by their slots; zero
     /// until an answer reports an occupancy.
     pub(super) busy: MovingAverage,
@@ -122,7 +122,7 @@
             servers: Vec::new(),
             queue: Queue::default(),
             in_flight: 0,
-            kinds: Kinds::default(),
+            call_times: CallTimesByKind::default(),
             busy: MovingAverage::default(),
             is_changed: false,
             budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
@@ -211,9 +211,9 @@
     }
 
     /// Adds a call time to the service's estimates.
-    pub(super) fn learn(&mut self, kind: Kind, span: Duration) {
+    pub(super) fn record_call_time(&mut self, kind: WorkKind, span: Duration) {
         let extra = self.limits().extra_percent;
-        self.kinds.learn(kind, span, extra);
+        self.call_times.record_call_time(kind, span, extra);
     }
 }
 
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -91,7 +91,7 @@
     fn service_status(&self, id: super::service::ServiceId, now: Instant) -> Service {
         let service = &self.services[id];
         let suspects = self.suspects(id);
-        let times = service.kinds.all().estimate();
+        let times = service.call_times.all().estimate();
         let servers = service.servers.iter().map(|key| {
             let server = &self.servers[*key];
             server_status(server, suspects.contains(key), times.mean(), now)
@@ -103,7 +103,7 @@
             in_flight: service.in_flight,
             median: times.quantile(0.5),
             p99: times.quantile(0.99),
-            hedge_delay: service.kinds.all().slow(),
+            hedge_delay: service.call_times.all().slow(),
             budget: service.budget.calls(),
             servers: servers.collect(),
         }
