--- a/crates/core/src/leaf/budget.rs
+++ b/crates/core/src/leaf/budget.rs
@@ -114,7 +114,7 @@
     }
 
     /// Replaces the share of this instance in the extra calls of the fleet.
-    pub(super) fn allow(&mut self, allowance: Allowance) {
+    pub(super) fn set_allowance(&mut self, allowance: Allowance) {
         self.allowance = allowance;
         self.tokens = self.tokens.min(allowance.max_tokens);
     }
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -241,8 +241,8 @@
     /// portions still try the shedding server.
     fn already_shed(&self, key: PortionKey, candidate: ServerKey) -> bool {
         let portion = &self.portions[key];
-        let sheds = |server: ServerKey| {
-            self.servers[server].health.sheds() && portion.tried_servers.contains(&server)
+        let has_shed = |server: ServerKey| {
+            self.servers[server].health.has_shed() && portion.tried_servers.contains(&server)
         };
         let takes = |key: &ServerKey| {
             let server = &self.servers[*key];
@@ -251,10 +251,10 @@
             let usable = server.accepts() && reachable && !server.health.suspect();
             let in_time = server.health.shed_until() < portion.deadline;
             let serves_version = self.serves_version(*key, &portion.job.work);
-            usable && in_time && serves_version && !sheds(*key)
+            usable && in_time && serves_version && !has_shed(*key)
         };
         let takes = |server: &ServerKey| takes(server) && self.is_eligible_for(key, *server);
-        sheds(candidate) && self.services[portion.service].servers.iter().any(takes)
+        has_shed(candidate) && self.services[portion.service].servers.iter().any(takes)
     }
 
     /// Whether a portion may run on a server, according to the servers that its entry instance
@@ -299,8 +299,8 @@
     /// Expected call time at a server, without the calls that already wait there.
     fn expected_call_time(&self, id: ServiceId, kind: WorkKind, server: &Server) -> Duration {
         let mean = self.mean_call_time(id, kind).unwrap_or(DEFAULT_CALL_TIME);
-        let pace = server.health.pace(self.now).unwrap_or(1.0).max(0.5);
-        mean.mul_f64(pace).max(self.oldest_call_age(server))
+        let relative = server.health.relative_call_time(self.now).unwrap_or(1.0).max(0.5);
+        mean.mul_f64(relative).max(self.oldest_call_age(server))
     }
 
     /// Age of the oldest unanswered call at a server, a lower bound of its current call time.
--- a/crates/core/src/leaf/exclusion.rs
+++ b/crates/core/src/leaf/exclusion.rs
@@ -31,7 +31,7 @@
     /// The availability zone of the server is evacuated.
     pub evacuated: bool,
     /// The server warms up and may get no more requests from this instance for now.
-    pub spent: bool,
+    pub at_warmup_limit: bool,
 }
 
 impl Facts {
@@ -43,7 +43,7 @@
             Self { leaving: true, .. } => Some(Exclusion::Leaving),
             Self { evacuated: true, .. } => Some(Exclusion::Evacuated),
             Self { share: 0, .. } => Some(Exclusion::NoShare),
-            Self { spent: true, .. } => Some(Exclusion::Warming),
+            Self { at_warmup_limit: true, .. } => Some(Exclusion::Warming),
             _ => None,
         }
     }
--- a/crates/core/src/leaf/health.rs
+++ b/crates/core/src/leaf/health.rs
@@ -21,7 +21,7 @@
 /// Failure or shed rate from which a server is considered poor.
 const POOR_RATE: f64 = 0.15;
 /// Relative call time, as a multiple of the usual one, from which a server is considered poor.
-const POOR_PACE: f64 = 2.5;
+const POOR_RELATIVE_CALL_TIME: f64 = 2.5;
 /// Shortest pause of a suspect server.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause of a suspect server.
@@ -45,7 +45,7 @@
     consecutive_failures: u32,
     /// Moving average of call time divided by the usual call time of the same kind of work; zero
     /// before the first answer.
-    pace: f64,
+    relative_call_time: f64,
     /// Number of pauses since the last answer.
     consecutive_pauses: u32,
     /// End of the pause of a suspect server; after the pause, one call at a time is sent to the
@@ -54,7 +54,7 @@
     /// End of the pause that the server caused by shedding.
     shed_until: Instant,
     /// Whether the server has shed a call since its last answer.
-    sheds: bool,
+    has_shed: bool,
     /// Fraction of calls that the server shed, at the time of the latest answer or shed call.
     shed_rate: f64,
 }
@@ -68,17 +68,17 @@
             self.failure_rate = self.failure_rate.min(SUSPECT_FAILURE_RATE / 2.0);
         }
         self.consecutive_failures = 0;
-        self.sheds = false;
+        self.has_shed = false;
         self.shed_rate = self.shed_rate(now) * (1.0 - OUTCOME_WEIGHT);
         self.consecutive_pauses = 0;
-        self.add_pace_sample(span, usual);
+        self.add_relative_call_time(span, usual);
     }
 
     /// Records that a call took at least `span` without an answer.
     pub(super) fn slow(&mut self, span: Duration, usual: Option<Duration>) {
         let usual_us = usual.map_or(0.0, |usual| micros(usual) as f64);
-        if micros(span) as f64 > self.pace * usual_us {
-            self.add_pace_sample(span, usual);
+        if micros(span) as f64 > self.relative_call_time * usual_us {
+            self.add_relative_call_time(span, usual);
         }
     }
 
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn shed(&mut self, now: Instant, advice: Duration, random: &mut Random) -> Instant {
-        self.sheds = true;
+        self.has_shed = true;
         let rate = self.shed_rate(now);
         self.shed_rate = rate + OUTCOME_WEIGHT * (1.0 - rate);
         self.record_outcome_time(now);
@@ -123,8 +123,8 @@
     }
 
     /// Whether the server has shed a call since its last answer.
-    pub(super) fn sheds(&self) -> bool {
-        self.sheds
+    pub(super) fn has_shed(&self) -> bool {
+        self.has_shed
     }
 
     pub(super) fn shed_until(&self) -> Instant {
@@ -153,38 +153,40 @@
     /// Whether the server is slow, failing or shedding so much that another server of the service
     /// is the better choice, if there is one.
     pub(super) fn is_poor(&self, now: Instant) -> bool {
-        let is_slow = self.pace(now).is_some_and(|pace| pace >= POOR_PACE);
+        let is_slow = self
+            .relative_call_time(now)
+            .is_some_and(|relative| relative >= POOR_RELATIVE_CALL_TIME);
         is_slow || self.failure_rate(now) >= POOR_RATE || self.shed_rate(now) >= POOR_RATE
     }
 
     /// Relative call time: multiple of the usual time that the server's calls take; `None` before
     /// the first answer and if the latest outcome is older than [`HALF_LIFE`].
-    pub(super) fn pace(&self, now: Instant) -> Option<f64> {
-        let is_known = self.pace > 0.0 && now.since(self.last_outcome_at) < HALF_LIFE;
-        is_known.then_some(self.decayed_pace(now))
+    pub(super) fn relative_call_time(&self, now: Instant) -> Option<f64> {
+        let is_known = self.relative_call_time > 0.0 && now.since(self.last_outcome_at) < HALF_LIFE;
+        is_known.then_some(self.decayed_relative_call_time(now))
     }
 
-    fn decayed_pace(&self, now: Instant) -> f64 {
+    fn decayed_relative_call_time(&self, now: Instant) -> f64 {
         let idle = now.since(self.last_outcome_at).as_secs_f64() / SLOW_HALF_LIFE.as_secs_f64();
-        let excess = (self.pace - 1.0).max(0.0);
-        self.pace - excess + excess * (-idle).exp2()
+        let excess = (self.relative_call_time - 1.0).max(0.0);
+        self.relative_call_time - excess + excess * (-idle).exp2()
     }
 
     /// Registers the time of a new outcome; the relative call time and the rates decay from then
     /// on.
     fn record_outcome_time(&mut self, now: Instant) {
-        self.pace = self.decayed_pace(now);
+        self.relative_call_time = self.decayed_relative_call_time(now);
         self.last_outcome_at = now;
     }
 
-    fn add_pace_sample(&mut self, span: Duration, usual: Option<Duration>) {
+    fn add_relative_call_time(&mut self, span: Duration, usual: Option<Duration>) {
         let Some(usual) = usual.filter(|usual| !usual.is_zero()) else {
             return;
         };
-        let pace = span.as_secs_f64() / usual.as_secs_f64();
-        if self.pace == 0.0 {
-            self.pace = pace;
+        let sample = span.as_secs_f64() / usual.as_secs_f64();
+        if self.relative_call_time == 0.0 {
+            self.relative_call_time = sample;
         }
-        self.pace += TIME_WEIGHT * (pace - self.pace);
+        self.relative_call_time += TIME_WEIGHT * (sample - self.relative_call_time);
     }
 }
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -122,7 +122,7 @@
     /// service.
     pub(super) fn list(&mut self, now: Instant, listed: &view::Server, warmup: Duration) {
         self.listed = true;
-        self.warmup.publish(now, listed.warmup);
+        self.warmup.update_published(now, listed.warmup);
         if self.evacuated && !listed.evacuated {
             self.warmup.restart(now, warmup);
         }
@@ -168,15 +168,15 @@
         self.leaving.is_some_and(|leaving| leaving >= self.incarnation)
     }
 
-    /// Reason why the server gets no new work; `None` if it may get work. `spent`: the server is in
-    /// warm-up and this instance has used up its request rate.
-    pub(super) fn exclusion(&self, spent: bool) -> Option<Exclusion> {
+    /// Reason why the server gets no new work; `None` if it may get work. `at_warmup_limit`: the
+    /// server is in warm-up and this instance has used up its request rate.
+    pub(super) fn exclusion(&self, at_warmup_limit: bool) -> Option<Exclusion> {
         let facts = Facts {
             listed: self.listed,
             share: self.share,
             leaving: self.leaving(),
             evacuated: self.evacuated,
-            spent,
+            at_warmup_limit,
         };
         facts.exclusion()
     }
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -195,7 +195,7 @@
 
     fn apply_extra_call_share(&mut self) {
         let sends_for_all = self.scarce && self.last_handover.is_some();
-        self.budget.allow(if sends_for_all {
+        self.budget.set_allowance(if sends_for_all {
             self.extra_call_shares.sends_for_all
         } else {
             self.extra_call_shares.one_of_all
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -124,7 +124,11 @@
         connections: server.lanes.len(),
         share: server.share,
         failure_rate: server.health.failure_rate(now),
-        mean: server.health.pace(now).zip(usual).map(|(pace, usual)| usual.mul_f64(pace)),
+        mean: server
+            .health
+            .relative_call_time(now)
+            .zip(usual)
+            .map(|(relative, usual)| usual.mul_f64(relative)),
         report_age: server.report_age(now),
     }
 }
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -136,7 +136,7 @@
 impl Warmup {
     /// Records the published remaining warm-up time. The end of the warm-up moves only when the
     /// published value changes.
-    pub(super) fn publish(&mut self, now: Instant, left: Duration) {
+    pub(super) fn update_published(&mut self, now: Instant, left: Duration) {
         if left != self.published {
             self.published = left;
             self.until = now + left;
--- a/crates/core/tests/leaf/exclusion.rs
+++ b/crates/core/tests/leaf/exclusion.rs
@@ -14,7 +14,7 @@
 use crate::open::{End, Open};
 
 const USABLE: Facts =
-    Facts { listed: true, share: 6, leaving: false, evacuated: false, spent: false };
+    Facts { listed: true, share: 6, leaving: false, evacuated: false, at_warmup_limit: false };
 
 struct Case {
     facts: Facts,
@@ -26,9 +26,12 @@
     let cases = [
         Case { facts: USABLE, exclusion: None },
         Case { facts: Facts { share: 0, ..USABLE }, exclusion: Some(Exclusion::NoShare) },
-        Case { facts: Facts { spent: true, ..USABLE }, exclusion: Some(Exclusion::Warming) },
         Case {
-            facts: Facts { spent: true, evacuated: true, ..USABLE },
+            facts: Facts { at_warmup_limit: true, ..USABLE },
+            exclusion: Some(Exclusion::Warming),
+        },
+        Case {
+            facts: Facts { at_warmup_limit: true, evacuated: true, ..USABLE },
             exclusion: Some(Exclusion::Evacuated),
         },
         Case { facts: Facts { evacuated: true, ..USABLE }, exclusion: Some(Exclusion::Evacuated) },
@@ -41,7 +44,13 @@
             exclusion: Some(Exclusion::Leaving),
         },
         Case {
-            facts: Facts { listed: false, leaving: true, evacuated: true, share: 0, spent: true },
+            facts: Facts {
+                listed: false,
+                leaving: true,
+                evacuated: true,
+                share: 0,
+                at_warmup_limit: true,
+            },
             exclusion: Some(Exclusion::Unlisted),
         },
     ];
