--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -248,7 +248,7 @@
             let server = &self.servers[*key];
             let reachable =
                 server.in_flight > 0 || server.open_failures < UNREACHABLE_OPEN_FAILURES;
-            let usable = server.accepts() && reachable && !server.health.suspect();
+            let usable = server.accepts_work() && reachable && !server.health.suspect();
             let in_time = server.health.shed_until() < portion.deadline;
             let serves_version = self.serves_version(*key, &portion.job.work);
             usable && in_time && serves_version && !has_shed(*key)
@@ -273,7 +273,8 @@
     pub(super) fn serves_version(&self, key: ServerKey, work: &wire::Work) -> bool {
         // A routing version determines the services of a forwarded message; their servers answer
         // requests under every routing version.
-        work.forward.is_some() || self.servers[key].holds(self.now, &work.index, work.version)
+        work.forward.is_some()
+            || self.servers[key].serves_version(self.now, &work.index, work.version)
     }
 
     /// Whether a suspected server may get a trial call: its pause has ended and it has no call in
@@ -326,7 +327,7 @@
         if !all.any(|key| self.servers[*key].health.suspect()) {
             return Vec::new();
         }
-        let accepting = |key: &&ServerKey| self.servers[**key].accepts();
+        let accepting = |key: &&ServerKey| self.servers[**key].accepts_work();
         let servers: Vec<ServerKey> =
             self.services[id].servers.iter().filter(accepting).copied().collect();
         let rate = |key: &ServerKey| self.servers[*key].health.failure_rate(self.now);
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -203,7 +203,7 @@
         match reason {
             Reason::TargetLeaving => {
                 let incarnation = server.incarnation;
-                server.leave(incarnation);
+                server.mark_leaving(incarnation);
                 self.maintain_server(attempt.server, out);
                 self.refuse_unservable(attempt.service, out);
             }
@@ -240,7 +240,7 @@
         }
         portion.attempts.retain(|other| *other != ended);
         let service = &mut self.services[attempt.service];
-        service.overdue.remove(&(attempt.sent, key));
+        service.due_hedges.remove(&(attempt.sent, key));
         if let Outcome::Answer(answer) = outcome {
             self.sibling_answered(&attempt.job, took);
             self.answer(key, answer.parts, out);
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -83,7 +83,7 @@
         }
         let id = portion.service;
         let sent = self.attempts[attempt].sent;
-        self.services[id].overdue.insert((sent, key));
+        self.services[id].due_hedges.insert((sent, key));
         self.mark_changed(id);
     }
 
@@ -91,12 +91,12 @@
     /// of the budget are available.
     pub(super) fn send_due_hedges(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         let service = &mut self.services[id];
-        if service.overdue.is_empty() || service.busy.value() > MAX_HEDGING_LOAD {
+        if service.due_hedges.is_empty() || service.busy.value() > MAX_HEDGING_LOAD {
             return;
         }
         let limit = HEDGE_SCAN_MARGIN + service.budget.refill(self.now).calls() as usize;
-        let overdue: Vec<_> = service.overdue.iter().take(limit).copied().collect();
-        for (sent, key) in overdue {
+        let due_hedges: Vec<_> = service.due_hedges.iter().take(limit).copied().collect();
+        for (sent, key) in due_hedges {
             if !self.services[id].budget.affords_hedge() || !self.has_room(id) {
                 return;
             }
@@ -104,13 +104,13 @@
                 continue;
             }
             if !self.is_hedge_useful(key) {
-                self.services[id].overdue.remove(&(sent, key));
+                self.services[id].due_hedges.remove(&(sent, key));
                 continue;
             }
             let Some(server) = self.choose_hedge_server(id, key) else {
                 continue;
             };
-            self.services[id].overdue.remove(&(sent, key));
+            self.services[id].due_hedges.remove(&(sent, key));
             self.services[id].budget.spend();
             self.portions[key].hedged = true;
             Self::count(count::Event::Hedge, Reason::Hedge, out);
@@ -138,7 +138,7 @@
             let free = server.in_flight < server.capacity(self.now);
             healthy
                 && free
-                && !server.cold(self.now)
+                && !server.is_cold(self.now)
                 && !portion.tried_servers.contains(candidate)
                 && self.is_eligible_for(key, *candidate)
                 && self.can_send(*candidate)
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -103,7 +103,7 @@
         }
         let id = id.filter(|id| self.services[*id].rank != Rank::None);
         let id = id.ok_or_else(|| Refused::not_run(self.unowned_reason()))?;
-        self.services[id].wanted = Some(self.now);
+        self.services[id].last_arrival = Some(self.now);
         if job.from.name != self.settings.name {
             self.services[id].record_handover(self.now);
         }
@@ -239,7 +239,7 @@
         deadline: Instant,
     ) {
         let service = &mut self.services[id];
-        service.last_work = self.now;
+        service.last_accepted = self.now;
         let portion = Portion {
             eligible,
             job: Arc::clone(job),
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -146,13 +146,13 @@
     /// candidates none, until they receive work themselves.
     fn target_connections(&self, key: ServerKey) -> usize {
         let server = &self.servers[key];
-        if !server.accepts() {
+        if !server.accepts_work() {
             return 0;
         }
         let service = &self.services[server.service];
-        let idle_since = self.now.since(service.last_work);
+        let idle_since = self.now.since(service.last_accepted);
         let worked_recently =
-            service.last_work != Default::default() && idle_since < KEEP_AFTER_WORK;
+            service.last_accepted != Default::default() && idle_since < KEEP_AFTER_WORK;
         let has_work = !service.queue.is_empty() || worked_recently;
         let all_slots = server.slots as usize + SPARE_CONNECTIONS;
         let by_rank = match service.rank {
@@ -256,7 +256,7 @@
             let server = &self.servers[key];
             let lane = server.probe_lane.and_then(|lane| self.lanes.get(lane));
             let probe_is_open = lane.is_some_and(|lane| lane.state == State::Control);
-            if probe_is_open || !server.accepts() || self.now < server.probe_at {
+            if probe_is_open || !server.accepts_work() || self.now < server.probe_at {
                 continue;
             }
             let name = Arc::clone(&server.name);
--- a/crates/core/src/leaf/outlook.rs
+++ b/crates/core/src/leaf/outlook.rs
@@ -18,7 +18,7 @@
     /// its servers do.
     pub(super) fn avoided(&self, id: ServiceId) -> Vec<u32> {
         let servers = self.services[id].servers.iter().map(|key| &self.servers[*key]);
-        let accepting = servers.filter(|server| server.accepts());
+        let accepting = servers.filter(|server| server.accepts_work());
         let is_poor = |server: &&Server| server.health.is_poor(self.now);
         if accepting.clone().all(|server| is_poor(&server)) {
             return Vec::new();
@@ -31,7 +31,7 @@
     pub(super) fn usable_slots(&self, id: ServiceId) -> u32 {
         let service = &self.services[id];
         let servers = service.servers.iter().map(|key| &self.servers[*key]);
-        let accepting = servers.filter(|server| server.accepts());
+        let accepting = servers.filter(|server| server.accepts_work());
         let slots: u32 = accepting.map(|server| server.capacity(self.now)).sum();
         match service.limits().in_flight {
             0 => slots,
@@ -50,7 +50,7 @@
     ) -> Result<(), Refused> {
         let servers = self.services[id].servers.iter().copied();
         let accepting: Vec<ServerKey> = servers
-            .filter(|key| self.servers[*key].accepts() && self.is_eligible(eligible, *key))
+            .filter(|key| self.servers[*key].accepts_work() && self.is_eligible(eligible, *key))
             .collect();
         if accepting.is_empty() {
             return Err(Refused::not_run(self.exclusion_reason(id)));
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -57,7 +57,7 @@
             None => self.insert_service(listed),
         };
         let service = &mut self.services[id];
-        service.list(listed, &self.settings.name);
+        service.update_from_view(listed, &self.settings.name);
         let servers = service.servers.clone();
         for key in servers {
             self.servers[key].listed = false;
@@ -91,7 +91,7 @@
         if let Some(key) = same {
             let known_incarnation = self.servers[key].incarnation;
             let warmup = self.services[id].warmup();
-            self.servers[key].list(self.now, listed, warmup);
+            self.servers[key].update_from_view(self.now, listed, warmup);
             self.update_warmup_quota(key);
             if known_incarnation < listed.incarnation {
                 self.close_stale_connections(key, out);
@@ -203,7 +203,7 @@
         if known_incarnation < server.incarnation {
             self.server_terminated(key, known_incarnation, out);
         }
-        if self.servers[key].leaving() {
+        if self.servers[key].is_leaving() {
             self.maintain_server(key, out);
             self.refuse_unservable(id, out);
         }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -124,7 +124,7 @@
         }
         for attempt in &portion.attempts {
             let sent = self.attempts[*attempt].sent;
-            service.overdue.remove(&(sent, key));
+            service.due_hedges.remove(&(sent, key));
         }
         let query = portion.job.query();
         let Some(keys) = self.queries.get_mut(&query) else {
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -114,13 +114,18 @@
             lost_calls: Vec::new(),
             reported_termination: None,
         };
-        server.list(now, listed, warmup);
+        server.update_from_view(now, listed, warmup);
         server
     }
 
     /// Updates the server from a view; `warmup` is the maximum warm-up time of servers of the
     /// service.
-    pub(super) fn list(&mut self, now: Instant, listed: &view::Server, warmup: Duration) {
+    pub(super) fn update_from_view(
+        &mut self,
+        now: Instant,
+        listed: &view::Server,
+        warmup: Duration,
+    ) {
         self.listed = true;
         self.warmup.update_published(now, listed.warmup);
         if self.evacuated && !listed.evacuated {
@@ -132,7 +137,7 @@
         self.holdings.clone_from(&listed.holdings);
         self.start(listed.incarnation);
         if listed.leaving {
-            self.leave(listed.incarnation);
+            self.mark_leaving(listed.incarnation);
         }
     }
 
@@ -143,7 +148,7 @@
         }
         self.start(load.incarnation);
         if load.leaving {
-            self.leave(self.incarnation);
+            self.mark_leaving(self.incarnation);
         }
         self.report = Some((now, load));
     }
@@ -160,11 +165,11 @@
     }
 
     /// Records that some source reported this incarnation as leaving.
-    pub(super) fn leave(&mut self, incarnation: u64) {
+    pub(super) fn mark_leaving(&mut self, incarnation: u64) {
         self.leaving = self.leaving.max(Some(incarnation));
     }
 
-    pub(super) fn leaving(&self) -> bool {
+    pub(super) fn is_leaving(&self) -> bool {
         self.leaving.is_some_and(|leaving| leaving >= self.incarnation)
     }
 
@@ -174,7 +179,7 @@
         let facts = Facts {
             listed: self.listed,
             share: self.share,
-            leaving: self.leaving(),
+            leaving: self.is_leaving(),
             evacuated: self.evacuated,
             at_warmup_limit,
         };
@@ -182,7 +187,7 @@
     }
 
     /// Whether the server may get new work, warm-up rate limits aside.
-    pub(super) fn accepts(&self) -> bool {
+    pub(super) fn accepts_work(&self) -> bool {
         self.exclusion(false).is_none()
     }
 
@@ -195,7 +200,7 @@
 
     /// Whether the server serves an index version, according to the publication or a fresh load
     /// report.
-    pub(super) fn holds(&self, now: Instant, index: &str, version: u64) -> bool {
+    pub(super) fn serves_version(&self, now: Instant, index: &str, version: u64) -> bool {
         let is_version = |holding: &Holding| holding.version == version && holding.index == index;
         let is_fresh = |at: &Instant| now.since(*at) < RETIRED_MAX_AGE;
         if self.retired.iter().any(|(holding, at)| is_version(holding) && is_fresh(at)) {
@@ -206,13 +211,13 @@
         is_reported || self.holdings.iter().any(is_version)
     }
 
-    pub(super) fn cold(&self, now: Instant) -> bool {
+    pub(super) fn is_cold(&self, now: Instant) -> bool {
         self.fresh_load_report(now).is_some_and(|load| load.cold)
     }
 
     /// Number of requests that the server may run concurrently; a cold server gets half its slots.
     pub(super) fn capacity(&self, now: Instant) -> u32 {
-        match self.cold(now) {
+        match self.is_cold(now) {
             true => (self.slots / 2).max(1),
             false => self.slots.max(1),
         }
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -89,7 +89,7 @@
     pub(super) admission: Admission,
     /// Portions whose hedge is due but has found no free slot or no budget yet, by time of the
     /// first call.
-    pub(super) overdue: BTreeSet<(Instant, PortionKey)>,
+    pub(super) due_hedges: BTreeSet<(Instant, PortionKey)>,
     /// Recent maximum of concurrent connections needed to one server.
     pub(super) peak: Peak,
     /// Index of the server that is considered first for the next call.
@@ -107,9 +107,9 @@
     /// Time at which another instance last handed over work; `None` if it expired.
     last_handover: Option<Instant>,
     /// Time at which work was last accepted.
-    pub(super) last_work: Instant,
+    pub(super) last_accepted: Instant,
     /// Time at which work last arrived, refused or not; `None` before the first.
-    pub(super) wanted: Option<Instant>,
+    pub(super) last_arrival: Option<Instant>,
 }
 
 impl Service {
@@ -127,7 +127,7 @@
             is_changed: false,
             budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
             admission: Admission::default(),
-            overdue: BTreeSet::new(),
+            due_hedges: BTreeSet::new(),
             peak: Peak::default(),
             cursor: 0,
             scarce: listed.scarce,
@@ -135,8 +135,8 @@
             owned: listed.candidates.len() > 1,
             extra_call_shares: ExtraCallShares::of(listed, own),
             last_handover: None,
-            last_work: Instant::default(),
-            wanted: None,
+            last_accepted: Instant::default(),
+            last_arrival: None,
         }
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Updates the service from a view; `own` is the name of this instance.
-    pub(super) fn list(&mut self, listed: &view::Service, own: &str) {
+    pub(super) fn update_from_view(&mut self, listed: &view::Service, own: &str) {
         self.rank = Rank::of(listed);
         self.scarce = listed.scarce;
         self.spare = listed.spare;
@@ -174,7 +174,7 @@
 
     /// Whether work arrived within [`DEMAND_MEMORY`], refused or not.
     pub(super) fn has_demand(&self, now: Instant) -> bool {
-        self.wanted.is_some_and(|at| now.since(at) < DEMAND_MEMORY)
+        self.last_arrival.is_some_and(|at| now.since(at) < DEMAND_MEMORY)
     }
 
     /// Records that another instance handed over work.
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -151,7 +151,7 @@
     if now < server.health.shed_until() {
         return State::Shedding;
     }
-    if server.cold(now) {
+    if server.is_cold(now) {
         return State::Cold;
     }
     State::Usable
