--- a/crates/core/tests/leaf/aggregate.rs
+++ b/crates/core/tests/leaf/aggregate.rs
@@ -12,7 +12,7 @@
 use ladder_core::schema::{target, wire};
 use ladder_core::view::{Service, View};
 
-use crate::bed::{Bed, Sent, cancel, server, service, settings, work};
+use crate::harness::{Harness, SentCall, cancel, server, service, settings, work};
 
 /// Number of parts of the sweep, each at its own service.
 const PARTS: usize = 4;
@@ -26,8 +26,8 @@
 }
 
 /// A harness that owns the services of all parts, each with one server.
-fn harness() -> Bed {
-    let mut harness = Bed::cold(settings(), service(vec![server(9)]));
+fn harness() -> Harness {
+    let mut harness = Harness::unconnected(settings(), service(vec![server(9)]));
     let mut view = View { generation: 2, ready: true, ..View::default() };
     for number in 0..PARTS {
         let mut only = server(number as u8);
@@ -69,7 +69,7 @@
 }
 
 /// A response with one record for each of these bytes.
-fn response(sent: &Sent, bytes: &[u8]) -> Outcome {
+fn response(sent: &SentCall, bytes: &[u8]) -> Outcome {
     let body: Vec<u8> = bytes.iter().flat_map(|byte| record(*byte)).collect();
     let response = Response {
         status: 200,
@@ -97,7 +97,7 @@
     stamp: String,
 }
 
-fn summaries(harness: &Bed) -> Vec<ReplySummary> {
+fn summaries(harness: &Harness) -> Vec<ReplySummary> {
     let replies = harness.log.iter().filter_map(|action| match action {
         Action::Reply { reply, .. } => Some(reply),
         _ => None,
@@ -116,13 +116,13 @@
     summaries.collect()
 }
 
-fn pending_reports(harness: &Bed) -> usize {
+fn pending_reports(harness: &Harness) -> usize {
     harness.log.iter().filter(|action| matches!(action, Action::Pending { .. })).count()
 }
 
 /// Starts a sweep and returns its calls in the order of their parts.
-fn start_sweep(harness: &mut Bed, query: u64) -> Vec<Sent> {
-    harness.work(sweep(query, 1));
+fn start_sweep(harness: &mut Harness, query: u64) -> Vec<SentCall> {
+    harness.deliver_work(sweep(query, 1));
     let mut sent = harness.sent();
     sent.sort_by(|a, b| a.request.shards.cmp(&b.request.shards));
     harness.log.clear();
@@ -148,7 +148,7 @@
     let bodies: [&[u8]; PARTS] = [&[5, 1], &[9, 3], &[], &[7]];
     for (call, body) in sent.iter().zip(bodies) {
         assert!(summaries(&harness).is_empty(), "no reply is sent before all parts are answered");
-        harness.end(call.attempt, response(call, body));
+        harness.end_call(call.attempt, response(call, body));
     }
     let expected = [
         ran("part-0", 4, &[9, 7]),
@@ -168,7 +168,7 @@
     let sent = start_sweep(&mut harness, 1);
     harness.advance(25);
     for call in &sent {
-        harness.end(call.attempt, response(call, &[1]));
+        harness.end_call(call.attempt, response(call, &[1]));
     }
     let held = harness.log.iter().filter_map(|action| match action {
         Action::Reply { reply, .. } => Some(reply.held_us),
@@ -186,7 +186,7 @@
     let sent = start_sweep(&mut harness, 1);
     harness.advance(10);
     for call in &sent[..2] {
-        harness.end(call.attempt, response(call, &[4, 2]));
+        harness.end_call(call.attempt, response(call, &[4, 2]));
     }
     harness.advance(TIMELY_MS - 11);
     assert!(summaries(&harness).is_empty());
@@ -195,7 +195,7 @@
     assert_eq!(pending_reports(&harness), 1);
     harness.log.clear();
     for call in &sent[2..] {
-        harness.end(call.attempt, response(call, &[3, 6]));
+        harness.end_call(call.attempt, response(call, &[3, 6]));
         assert_eq!(summaries(&harness).len(), 1, "a late reply is sent at once");
         assert_eq!(summaries(&harness)[0].merged, 0);
         harness.log.clear();
@@ -220,14 +220,14 @@
     let mut harness = harness();
     let mut work = sweep(1, 1);
     work.portions[0].service = "unknown".to_owned();
-    harness.work(work);
+    harness.deliver_work(work);
     let refused = summaries(&harness);
     assert_eq!(refused.len(), 1);
     assert_eq!((&*refused[0].part, refused[0].verdict), ("unknown", Verdict::NotRun));
     let sent = harness.sent();
     harness.log.clear();
     for call in &sent {
-        harness.end(call.attempt, response(call, &[1]));
+        harness.end_call(call.attempt, response(call, &[1]));
     }
     let merged: Vec<u32> = summaries(&harness).iter().map(|summary| summary.merged).collect();
     assert_eq!(merged, [3, 0, 0], "the refusal does not delay the other replies");
@@ -238,7 +238,7 @@
 fn cancelled_query_drops_its_aggregation() {
     let mut harness = harness();
     let sent = start_sweep(&mut harness, 1);
-    harness.end(sent[0].attempt, response(&sent[0], &[1]));
+    harness.end_call(sent[0].attempt, response(&sent[0], &[1]));
     harness.handle(cancel(1));
     let verdicts: Vec<Verdict> =
         summaries(&harness).iter().map(|summary| summary.verdict).collect();
@@ -254,10 +254,10 @@
 fn repeated_delivery_is_not_awaited() {
     let mut harness = harness();
     let sent = start_sweep(&mut harness, 1);
-    harness.work(sweep(1, 1));
+    harness.deliver_work(sweep(1, 1));
     assert!(harness.sent().is_empty());
     for call in &sent {
-        harness.end(call.attempt, response(call, &[1]));
+        harness.end_call(call.attempt, response(call, &[1]));
     }
     assert_eq!(summaries(&harness).len(), PARTS);
     harness.log.clear();
@@ -330,13 +330,13 @@
 fn simulate(steps: &[Step]) {
     let mut harness = harness();
     let mut checker = ReplyChecker::default();
-    let mut calls: Vec<Sent> = Vec::new();
+    let mut calls: Vec<SentCall> = Vec::new();
     let mut queries = Map::default();
     for step in steps {
         harness.log.clear();
         match *step {
             Step::Sweep { query } => {
-                harness.work(sweep(query.into(), 1));
+                harness.deliver_work(sweep(query.into(), 1));
                 queries.insert(u64::from(query), ());
             }
             Step::Answer { call, records } => {
@@ -344,17 +344,17 @@
                     let name = (query_number(&call), call.request.shards[0].clone());
                     // If a part was hedged, its first answer counts.
                     checker.answered.entry(name).or_insert_with(|| records.to_vec());
-                    harness.end(call.attempt, response(&call, &records));
+                    harness.end_call(call.attempt, response(&call, &records));
                 }
             }
             Step::Shed(call) => {
                 if let Some(call) = take_call(&mut calls, call) {
-                    harness.end(call.attempt, call.refusal(Reason::TargetShed, 1));
+                    harness.end_call(call.attempt, call.refusal(Reason::TargetShed, 1));
                 }
             }
             Step::Fail(call) => {
                 if let Some(call) = take_call(&mut calls, call) {
-                    harness.end(call.attempt, Outcome::Lost);
+                    harness.end_call(call.attempt, Outcome::Lost);
                 }
             }
             Step::Wait(millis) => harness.advance(millis.into()),
@@ -382,12 +382,12 @@
     }
 }
 
-fn take_call(calls: &mut Vec<Sent>, which: u8) -> Option<Sent> {
+fn take_call(calls: &mut Vec<SentCall>, which: u8) -> Option<SentCall> {
     (!calls.is_empty()).then(|| calls.remove(usize::from(which) % calls.len()))
 }
 
 /// Query number of a call, from its request key.
-fn query_number(sent: &Sent) -> u64 {
+fn query_number(sent: &SentCall) -> u64 {
     let key = sent.request.key.trim_start_matches("key-");
     key.parse().expect("a number")
 }
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -19,7 +19,7 @@
 use ladder_core::{gather, leaf};
 use ladder_property::Engine;
 
-use crate::bed::{self, peer};
+use crate::harness::{self, peer};
 
 /// Names and zones of the instances. All sweeps arrive at the first instance.
 const INSTANCES: [(&str, &str); 4] = [
@@ -236,7 +236,7 @@
             }
             Step::End(which, end) => {
                 if let Some(call) = take_one(&mut self.calls, which) {
-                    self.end(call, end);
+                    self.end_call(call, end);
                 }
             }
             Step::Wait(millis) => self.wait(Duration::from_millis(millis.into())),
@@ -278,10 +278,10 @@
         }
     }
 
-    fn end(&mut self, call: Call, end: End) {
+    fn end_call(&mut self, call: Call, end: End) {
         let outcome = match end {
-            End::Answer => Outcome::Answer(bed::answer(&call.request, |_| String::new())),
-            End::Shed => bed::refusal(&call.request, Reason::TargetShed, 3),
+            End::Answer => Outcome::Answer(harness::answer(&call.request, |_| String::new())),
+            End::Shed => harness::refusal(&call.request, Reason::TargetShed, 3),
             End::Error => Outcome::Error,
             End::Lost => Outcome::Lost,
             End::Unsent => Outcome::Unsent,
@@ -316,7 +316,7 @@
     /// parts that ran.
     fn check(mut self) -> usize {
         while let Some(call) = self.calls.pop() {
-            self.end(call, End::Error);
+            self.end_call(call, End::Error);
         }
         for (part, servers) in &self.executions {
             assert!(servers.len() <= ATTEMPTS, "{part:?} ran on {servers:?}");
@@ -352,7 +352,7 @@
             zone: (*zone).into(),
             leaving: states[number] == ServerState::Leaving,
             holdings: Vec::new(),
-            ..bed::server(1)
+            ..harness::server(1)
         };
         let known = |(number, _): &(usize, &&str)| states[*number] != ServerState::Unknown;
         let limits = Limits { queue: 100, extra_percent: 100, ..Limits::default() };
@@ -363,7 +363,7 @@
             candidates: vec![candidate],
             scarce,
             spare: !scarce,
-            ..bed::limited(limits, Vec::new())
+            ..harness::limited(limits, Vec::new())
         });
     }
     let route = Route {
--- a/crates/core/tests/leaf/crash.rs
+++ b/crates/core/tests/leaf/crash.rs
@@ -16,7 +16,7 @@
 use ladder_core::time::Instant;
 use ladder_core::view::{End, Quarantine, Service, View};
 
-use crate::bed::{Bed, Sent, limited, server, work};
+use crate::harness::{Harness, SentCall, limited, server, work};
 
 /// Number of services of a sweep.
 const PARTS: usize = 5;
@@ -48,9 +48,9 @@
     Event::View(Arc::new(view))
 }
 
-fn harness() -> Bed {
+fn harness() -> Harness {
     let settings = Settings::builder("porto-1", 7).seed(1).build();
-    let mut harness = Bed::cold(settings, limited(Limits::default(), Vec::new()));
+    let mut harness = Harness::unconnected(settings, limited(Limits::default(), Vec::new()));
     harness.handle(view(1));
     harness.connect();
     harness.log.clear();
@@ -63,7 +63,7 @@
 }
 
 /// Starts a sweep of this request and returns its calls.
-fn sweep(harness: &mut Bed, query: u64, target: &str) -> Vec<Sent> {
+fn sweep(harness: &mut Harness, query: u64, target: &str) -> Vec<SentCall> {
     let forward = wire::Forward {
         message: Some(Message { target: target.to_owned(), ..Message::default() }),
         attempts: 2,
@@ -77,7 +77,7 @@
         ..wire::Portion::default()
     };
     let before = harness.sent().len();
-    harness.work(wire::Work {
+    harness.deliver_work(wire::Work {
         forward: Some(Box::new(forward)),
         portions: (0..PARTS).map(portion).collect(),
         fingerprint: fingerprint(target).bytes().into(),
@@ -86,12 +86,12 @@
     harness.sent().split_off(before)
 }
 
-fn lose_call(harness: &mut Bed, sent: &Sent) {
-    harness.end(sent.attempt, Outcome::Lost);
+fn lose_call(harness: &mut Harness, sent: &SentCall) {
+    harness.end_call(sent.attempt, Outcome::Lost);
 }
 
 /// Refuses all connections that are being opened to a server.
-fn refuse_connections(harness: &mut Bed, address: &str) {
+fn refuse_connections(harness: &mut Harness, address: &str) {
     let opening = |action: &Action| match action {
         Action::Open { lane, address: to, .. } if **to == *address => Some(*lane),
         _ => None,
@@ -103,7 +103,7 @@
 }
 
 /// Requests of each reported crash.
-fn crash_reports(harness: &Bed) -> Vec<Vec<Fingerprint>> {
+fn crash_reports(harness: &Harness) -> Vec<Vec<Fingerprint>> {
     let requests = |action: &Action| match action {
         Action::Crashed { requests, .. } => Some(requests.clone()),
         _ => None,
@@ -114,7 +114,7 @@
 /// Events after a call lost its connection.
 struct Case {
     name: &'static str,
-    then: fn(&mut Bed, &Sent),
+    then: fn(&mut Harness, &SentCall),
     /// Whether the server counts as terminated.
     ended: bool,
 }
@@ -129,7 +129,7 @@
         Case {
             name: "closes all connections",
             then: |harness, _| {
-                harness.close_all();
+                harness.close_all_connections();
             },
             ended: false,
         },
@@ -154,7 +154,7 @@
         harness.log.clear();
         calls.iter().for_each(|sent| lose_call(&mut harness, sent));
         then(&mut harness, &calls[0]);
-        harness.each_sent(lose_call);
+        harness.end_each_call(lose_call);
         harness.advance(1000);
         let reported = crash_reports(&harness).contains(&vec![fingerprint("/docks/1")]);
         assert_eq!(reported, ended, "{name}");
@@ -178,7 +178,7 @@
     let rest = other.iter().filter(|sent| sent.attempt != also.attempt);
     harness.answer_all(rest.cloned());
     poison[1..].iter().for_each(|sent| lose_call(&mut harness, sent));
-    harness.each_sent(|harness, sent| {
+    harness.end_each_call(|harness, sent| {
         if !poison.iter().chain(&other).any(|first| first.attempt == sent.attempt) {
             lose_call(harness, sent);
         }
@@ -208,7 +208,7 @@
     lost: usize,
     /// Event that shows that the request did not crash the servers, or that the servers have not
     /// terminated.
-    then: fn(&mut Bed, &[Sent]),
+    then: fn(&mut Harness, &[SentCall]),
 }
 
 /// Guards against keeping the parts of a harmless sweep queued when its servers terminate or its
@@ -245,7 +245,7 @@
     }
 }
 
-fn refuse_all_connections(harness: &mut Bed, calls: &[Sent]) {
+fn refuse_all_connections(harness: &mut Harness, calls: &[SentCall]) {
     calls.iter().for_each(|sent| refuse_connections(harness, &sent.address));
 }
 
@@ -273,7 +273,8 @@
 /// Guards against refusing a popular request only because it was at servers that crashed.
 #[test]
 fn answered_request_is_cleared() {
-    let cleared = |harness: &Bed| harness.log.contains(&Action::Cleared(fingerprint("/docks/1")));
+    let cleared =
+        |harness: &Harness| harness.log.contains(&Action::Cleared(fingerprint("/docks/1")));
     let suspected = || Quarantine {
         suspected: [fingerprint("/docks/1")].into_iter().collect(),
         ..Quarantine::default()
@@ -344,7 +345,7 @@
 /// terminated.
 #[test]
 fn answer_of_a_server_refutes_its_termination() {
-    let refuted = |harness: &Bed| {
+    let refuted = |harness: &Harness| {
         let refuted = |action: &&Action| matches!(action, Action::Refuted { .. });
         harness.log.iter().filter(refuted).count()
     };
@@ -369,7 +370,7 @@
 }
 
 /// A quarantine that reports the servers of these calls as terminated at this time.
-fn ended<'a>(sent: impl IntoIterator<Item = &'a Sent>, at: Instant) -> Quarantine {
+fn ended<'a>(sent: impl IntoIterator<Item = &'a SentCall>, at: Instant) -> Quarantine {
     let end = End { incarnation: 1, at };
     let ended = sent.into_iter().map(|sent| (Arc::clone(&sent.address), end)).collect();
     Quarantine { ended, ..Quarantine::default() }
@@ -417,11 +418,11 @@
         let mut harness = harness();
         let start = harness.now;
         let mut now = 0;
-        let mut advance_to = |harness: &mut Bed, at: u64| {
+        let mut advance_to = |harness: &mut Harness, at: u64| {
             harness.advance(at - now);
             now = at;
         };
-        let receive_report = |harness: &mut Bed| {
+        let receive_report = |harness: &mut Harness| {
             let servers = (0..PARTS).flat_map(|part| [1, 2].map(|number| (part, number)));
             let end = End { incarnation: 1, at: start + Duration::from_millis(case.ended) };
             let ended =
@@ -434,7 +435,7 @@
         for (at, step) in steps {
             advance_to(&mut harness, at);
             match step {
-                0 => drop(harness.close_all()),
+                0 => drop(harness.close_all_connections()),
                 1 => harness.connect(),
                 _ => receive_report(&mut harness),
             }
@@ -445,7 +446,7 @@
         assert_eq!(calls.len(), PARTS, "{}", case.name);
         for sent in calls {
             match case.address_taken {
-                true => harness.end(sent.attempt, Outcome::Refusal(leaving_refusal(&sent))),
+                true => harness.end_call(sent.attempt, Outcome::Refusal(leaving_refusal(&sent))),
                 false => harness.answer(&sent),
             }
         }
@@ -455,7 +456,7 @@
 }
 
 /// The refusal by another server that has taken over the address.
-fn leaving_refusal(sent: &Sent) -> target::Refusal {
+fn leaving_refusal(sent: &SentCall) -> target::Refusal {
     let id = sent.request.id.clone();
     target::Refusal { id, reason: Reason::TargetLeaving.into(), retry_after_ms: 0 }
 }
--- a/crates/core/tests/leaf/dispatch.rs
+++ b/crates/core/tests/leaf/dispatch.rs
@@ -7,12 +7,12 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::view::Server;
 
-use crate::bed::{Bed, Sent, limited, server, service, settings, work};
+use crate::harness::{Harness, SentCall, limited, server, service, settings, work};
 
 #[test]
 fn answer_is_replied_with_its_parts() {
-    let mut harness = Bed::new();
-    harness.work(work(1, "sweep"));
+    let mut harness = Harness::new();
+    harness.deliver_work(work(1, "sweep"));
     let sent = harness.sent();
     assert_eq!(sent.len(), 1);
     assert_eq!(sent[0].request.shards, ["s1", "s2"]);
@@ -25,7 +25,7 @@
 struct Case {
     name: &'static str,
     operation: &'static str,
-    outcome: fn(&Sent) -> Outcome,
+    outcome: fn(&SentCall) -> Outcome,
     calls: usize,
     reply: Option<(Verdict, Reason)>,
 }
@@ -35,8 +35,8 @@
 /// a dock booked by a call with a lost answer would be booked twice.
 #[test]
 fn failed_call_is_retried_only_when_safe() {
-    let shed = |sent: &Sent| sent.refusal(Reason::TargetShed, 5);
-    let leaving = |sent: &Sent| sent.refusal(Reason::TargetLeaving, 0);
+    let shed = |sent: &SentCall| sent.refusal(Reason::TargetShed, 5);
+    let leaving = |sent: &SentCall| sent.refusal(Reason::TargetLeaving, 0);
     let may_have_run = |reason| Some((Verdict::MayHaveRun, reason));
     let case =
         |name, operation, outcome, calls, reply| Case { name, operation, outcome, calls, reply };
@@ -53,9 +53,10 @@
     ];
     for case in cases {
         let limits = Limits { queue: 100, extra_percent: 0, ..Limits::default() };
-        let mut harness = Bed::with(settings(), limited(limits, vec![server(1), server(2)]));
-        let first = harness.ask(1, case.operation);
-        harness.end(first.attempt, (case.outcome)(&first));
+        let mut harness =
+            Harness::connected(settings(), limited(limits, vec![server(1), server(2)]));
+        let first = harness.deliver_and_take_call(1, case.operation);
+        harness.end_call(first.attempt, (case.outcome)(&first));
         let sent = harness.sent();
         assert_eq!(sent.len(), case.calls, "{}", case.name);
         assert_eq!(harness.replies().first().copied(), case.reply, "{}", case.name);
@@ -70,9 +71,9 @@
 /// initial budget, their shards would be missing although the other replica has them.
 #[test]
 fn new_service_can_retry_calls_lost_with_a_server() {
-    let mut harness = Bed::new();
-    let first = harness.ask(1, "sweep");
-    harness.end(first.attempt, Outcome::Lost);
+    let mut harness = Harness::new();
+    let first = harness.deliver_and_take_call(1, "sweep");
+    harness.end_call(first.attempt, Outcome::Lost);
     assert_eq!(harness.sent().len(), 2);
 }
 
@@ -80,23 +81,23 @@
 /// caller still waits, and the abandoned call must not count as idle.
 #[test]
 fn reply_is_sent_before_the_budget_ends() {
-    let mut harness = Bed::new();
-    harness.work(work(1, "book"));
+    let mut harness = Harness::new();
+    harness.deliver_work(work(1, "book"));
     let start = harness.now;
     harness.advance(490);
     assert!(harness.replies().is_empty());
     harness.advance(9);
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::Deadline)]);
     assert!(harness.now.since(start).as_millis() < 500);
-    harness.end(harness.sent()[0].attempt, Outcome::Lost);
+    harness.end_call(harness.sent()[0].attempt, Outcome::Lost);
     assert_eq!(harness.replies().len(), 1);
     assert_eq!(harness.counted(count::Event::Refusal, Reason::Deadline), 1);
 }
 
 #[test]
 fn work_beyond_the_slots_is_queued() {
-    let mut harness = Bed::new();
-    harness.sweeps(1..=6);
+    let mut harness = Harness::new();
+    harness.deliver_sweeps(1..=6);
     let sent = harness.sent();
     assert_eq!(sent.len(), 4);
     harness.answer(&sent[0]);
@@ -112,16 +113,16 @@
 fn stalled_server_is_used_again_soon() {
     let remote = Server { zone: "campanha".into(), ..server(2) };
     let settings = Settings::builder("porto-1", 7).seed(1).zone("trindade").hedging(false).build();
-    let mut harness = Bed::with(settings, service(vec![server(1), remote]));
-    harness.teach(200, 10);
+    let mut harness = Harness::connected(settings, service(vec![server(1), remote]));
+    harness.learn_call_times(200, 10);
     let local_address = &*server(1).address;
-    let stalled = harness.ask(9000, "sweep");
+    let stalled = harness.deliver_and_take_call(9000, "sweep");
     assert_eq!(&*stalled.address, local_address);
     harness.advance(150);
     harness.answer(&stalled);
     let mut remote_calls = 0;
     for query in 9001..9100 {
-        let sent = harness.ask(query, "sweep");
+        let sent = harness.deliver_and_take_call(query, "sweep");
         remote_calls += usize::from(&*sent.address != local_address);
         harness.advance(10);
         harness.answer(&sent);
--- a/crates/core/tests/leaf/exclusion.rs
+++ b/crates/core/tests/leaf/exclusion.rs
@@ -10,8 +10,8 @@
 use ladder_core::schema::target;
 use ladder_core::view::Server;
 
-use crate::bed::{Bed, Sent, server, service, settings, view, work};
-use crate::open::{End, Open};
+use crate::harness::{Harness, SentCall, server, service, settings, view, work};
+use crate::open_calls::{End, OpenCalls};
 
 const USABLE: Facts =
     Facts { listed: true, share: 6, leaving: false, evacuated: false, at_warmup_limit: false };
@@ -69,14 +69,14 @@
 struct CallPath {
     name: &'static str,
     /// Actions before the evacuation.
-    before: fn(&mut Bed),
+    before: fn(&mut Harness),
     /// Actions after the evacuation.
-    after: fn(&mut Bed),
+    after: fn(&mut Harness),
 }
 
-fn sweeps(harness: &mut Bed) {
-    harness.sweeps(10..30);
-    harness.each_sent(|harness, sent| {
+fn sweeps(harness: &mut Harness) {
+    harness.deliver_sweeps(10..30);
+    harness.end_each_call(|harness, sent| {
         harness.advance(1);
         harness.answer(sent);
     });
@@ -90,31 +90,31 @@
         CallPath { name: "first calls", before: |_| {}, after: sweeps },
         CallPath {
             name: "queued work",
-            before: |harness| harness.sweeps(10..30),
+            before: |harness| harness.deliver_sweeps(10..30),
             after: |harness| harness.advance(1),
         },
         CallPath {
             name: "retries",
-            before: |harness| harness.sweeps(10..14),
+            before: |harness| harness.deliver_sweeps(10..14),
             after: |harness| {
-                harness.each_sent(|harness, sent| match &*sent.address {
-                    "10.0.0.2:80" => harness.end(sent.attempt, Outcome::Lost),
+                harness.end_each_call(|harness, sent| match &*sent.address {
+                    "10.0.0.2:80" => harness.end_call(sent.attempt, Outcome::Lost),
                     _ => harness.answer(sent),
                 });
             },
         },
         CallPath {
             name: "hedges",
-            before: |harness| harness.teach(60, 5),
+            before: |harness| harness.learn_call_times(60, 5),
             after: |harness| {
-                harness.sweeps([40]);
+                harness.deliver_sweeps([40]);
                 harness.advance(200);
             },
         },
         CallPath { name: "load reports", before: |_| {}, after: |harness| harness.advance(5_000) },
     ];
     for CallPath { name, before, after } in call_paths {
-        let mut harness = Bed::with(settings(), service(vec![]));
+        let mut harness = Harness::connected(settings(), service(vec![]));
         harness.handle(servers(false));
         harness.connect();
         before(&mut harness);
@@ -142,11 +142,11 @@
 /// the zone again.
 #[test]
 fn evacuation_keeps_open_calls_and_can_be_lifted() {
-    let mut harness = Bed::with(settings(), service(vec![]));
+    let mut harness = Harness::connected(settings(), service(vec![]));
     harness.handle(servers(false));
     harness.connect();
-    harness.sweeps(1..4);
-    let open: Vec<Sent> = harness.sent();
+    harness.deliver_sweeps(1..4);
+    let open: Vec<SentCall> = harness.sent();
     assert!(open.iter().any(|sent| &*sent.address == "10.0.0.1:80"));
     harness.log.clear();
     harness.handle(servers(true));
@@ -170,16 +170,16 @@
         view(service(vec![one(1), one(2)]))
     };
     let refused = (Verdict::NotRun, Reason::Evacuated);
-    let mut harness = Bed::with(settings(), service(vec![]));
+    let mut harness = Harness::connected(settings(), service(vec![]));
     harness.handle(all(false));
     harness.connect();
-    harness.sweeps(1..20);
+    harness.deliver_sweeps(1..20);
     let open = harness.sent().len();
     harness.log.clear();
     harness.handle(all(true));
     assert_eq!(harness.replies(), vec![refused; 19 - open], "queued work");
     harness.log.clear();
-    harness.sweeps([30]);
+    harness.deliver_sweeps([30]);
     assert_eq!(harness.replies(), [refused], "new work");
     assert!(harness.sent().is_empty());
 }
@@ -208,25 +208,25 @@
     ladder_property::check(300)
         .with_generator(bolero::produce::<Vec<Step>>().with().len(0_usize..=80))
         .for_each(|steps| {
-            let mut harness = Bed::with(settings(), service(vec![]));
+            let mut harness = Harness::connected(settings(), service(vec![]));
             harness.handle(zones(0));
             harness.connect();
             let mut evacuated = 0;
-            let mut open = Open::default();
+            let mut open = OpenCalls::default();
             for (number, step) in (1..).zip(steps) {
-                open.note(&harness);
+                open.record_connections(&harness);
                 harness.log.clear();
                 match *step {
-                    Step::Work => harness.work(work(number, "sweep")),
+                    Step::Work => harness.deliver_work(work(number, "sweep")),
                     Step::Evacuate(which) => {
                         evacuated = which % 8;
                         harness.handle(zones(evacuated));
                     }
                     Step::Wait(millis) => harness.advance(millis.into()),
                     Step::Connect => harness.connect(),
-                    Step::End(at, end) => open.end(&mut harness, at, end),
+                    Step::End(at, end) => open.end_call(&mut harness, at, end),
                 }
-                for address in open.take(&harness) {
+                for address in open.add_sent_calls(&harness) {
                     let zone: u8 = address["10.0.0.".len()..address.len() - 3].parse().unwrap();
                     assert!(evacuated >> zone & 1 == 0, "{address} in {evacuated:03b}");
                 }
@@ -238,7 +238,7 @@
 /// of its zone.
 #[test]
 fn load_report_does_not_lift_an_evacuation() {
-    let mut harness = Bed::with(settings(), service(vec![]));
+    let mut harness = Harness::connected(settings(), service(vec![]));
     harness.handle(servers(true));
     let load = target::Load { incarnation: 2, ..target::Load::default() };
     harness.handle(Event::Load { server: "docks-1".into(), load: Some(load) });
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -14,7 +14,7 @@
 use ladder_core::schema::{target, wire};
 use ladder_core::view::{self, Server};
 
-use crate::bed::{Bed, Sent, cancel, limited, server, settings, work};
+use crate::harness::{Harness, SentCall, cancel, limited, server, settings, work};
 
 /// Time for which a call may continue after its portion got a reply.
 const ABANDON_DELAY: Duration = Duration::from_millis(200);
@@ -42,19 +42,19 @@
 }
 
 /// A harness whose service has these limits.
-fn harness(settings: Settings, limits: Limits) -> Bed {
-    Bed::with(settings, limited(limits, vec![server(1), server(2)]))
+fn harness(settings: Settings, limits: Limits) -> Harness {
+    Harness::connected(settings, limited(limits, vec![server(1), server(2)]))
 }
 
 /// Sends a message and returns its first call.
-fn first_call(harness: &mut Bed, query: u64, operation: &str) -> Sent {
+fn first_call(harness: &mut Harness, query: u64, operation: &str) -> SentCall {
     harness.log.clear();
-    harness.work(forwarded(query, operation));
+    harness.deliver_work(forwarded(query, operation));
     harness.sent().remove(0)
 }
 
 /// A response of a server with this status.
-fn response(sent: &Sent, status: u32) -> Outcome {
+fn response(sent: &SentCall, status: u32) -> Outcome {
     let response = Response { status, body: Bytes::from_static(b"x"), ..Response::default() };
     let part = |shard: &String| Part {
         shard: shard.clone(),
@@ -97,7 +97,7 @@
     for case in cases {
         let mut harness = harness(settings(), limits(100, false));
         let sent = first_call(&mut harness, 1, case.operation);
-        harness.end(sent.attempt, response(&sent, case.status));
+        harness.end_call(sent.attempt, response(&sent, case.status));
         assert_eq!(harness.sent().len(), case.calls, "{}", case.name);
         assert_eq!(harness.replies().first().copied(), case.reply, "{}", case.name);
     }
@@ -111,18 +111,18 @@
         let mut harness = harness(settings(), limits(100, false));
         for query in 0..20 {
             let sent = first_call(&mut harness, query, "check");
-            harness.end(sent.attempt, response(&sent, 200));
+            harness.end_call(sent.attempt, response(&sent, 200));
         }
         harness.log.clear();
-        harness.work(forwarded(100, "check"));
+        harness.deliver_work(forwarded(100, "check"));
         let mut refused = 0;
-        let seen = harness.each_sent(|harness, sent| {
+        let seen = harness.end_each_call(|harness, sent| {
             if refused < refusals {
                 refused += 1;
-                harness.end(sent.attempt, sent.refusal(Reason::TargetShed, 1));
+                harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 1));
                 harness.advance(20);
             } else {
-                harness.end(sent.attempt, Outcome::Error);
+                harness.end_call(sent.attempt, Outcome::Error);
             }
         });
         assert_eq!(seen, calls, "after {refusals} refusals");
@@ -154,16 +154,17 @@
     for Eligible { name, named, leaving, called } in cases {
         let servers =
             (1..=3).map(|number| Server { leaving: leaving.contains(&number), ..server(number) });
-        let mut harness = Bed::with(settings(), limited(limits(100, false), servers.collect()));
+        let mut harness =
+            Harness::connected(settings(), limited(limits(100, false), servers.collect()));
         let mut work = forwarded(1, "sweep");
         let mark = |number: &u8| Mark::of(&server(*number).name).0;
         let servers = named.iter().map(mark).collect();
         work.portions[0].eligible = Some(wire::Eligible { servers });
-        harness.work(work);
+        harness.deliver_work(work);
         let mut seen = BTreeSet::new();
-        harness.each_sent(|harness, sent| {
+        harness.end_each_call(|harness, sent| {
             seen.insert(Arc::clone(&sent.address));
-            harness.end(sent.attempt, Outcome::Error);
+            harness.end_call(sent.attempt, Outcome::Error);
         });
         let called: BTreeSet<_> = called.iter().map(|number| server(*number).address).collect();
         assert_eq!(seen, called, "{name}");
@@ -181,7 +182,7 @@
     for (count_refused, calls) in [(false, 2), (true, 1)] {
         let mut harness = harness(settings(), limits(0, count_refused));
         let sent = first_call(&mut harness, 1, "check");
-        harness.end(sent.attempt, sent.refusal(Reason::TargetShed, 1));
+        harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 1));
         assert_eq!(harness.sent().len(), calls, "count_refused {count_refused}");
     }
 }
@@ -191,7 +192,7 @@
 fn retries_of_unsent_calls_are_free() {
     let mut harness = harness(settings(), limits(0, true));
     let sent = first_call(&mut harness, 1, "check");
-    harness.end(sent.attempt, Outcome::Unsent);
+    harness.end_call(sent.attempt, Outcome::Unsent);
     assert_eq!(harness.sent().len(), 2);
 }
 
@@ -202,18 +203,18 @@
     for (sharers, saved) in [(1, 40), (10, 4)] {
         let limits = Limits { extra_burst: 40, ..limits(10, true) };
         let service = view::Service { sharers, ..limited(limits, vec![server(1), server(2)]) };
-        let mut harness = Bed::with(settings(), service);
+        let mut harness = Harness::connected(settings(), service);
         for query in 0..500 {
             let sent = first_call(&mut harness, query, "check");
-            harness.end(sent.attempt, response(&sent, 200));
+            harness.end_call(sent.attempt, response(&sent, 200));
         }
         let mut retries = 0;
         for query in 1000..1100 {
             let sent = first_call(&mut harness, query, "check");
-            harness.end(sent.attempt, sent.refusal(Reason::TargetShed, 1));
+            harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 1));
             for sent in harness.sent().split_off(1) {
                 retries += 1;
-                harness.end(sent.attempt, response(&sent, 200));
+                harness.end_call(sent.attempt, response(&sent, 200));
             }
             harness.advance(100);
         }
@@ -232,7 +233,7 @@
     let mut harness = harness(settings(), limits(100, true));
     for query in 0..5 {
         let sent = first_call(&mut harness, query, "sweep");
-        harness.end(sent.attempt, response(&sent, 200));
+        harness.end_call(sent.attempt, response(&sent, 200));
     }
     first_call(&mut harness, 10, "sweep");
     harness.advance(29);
@@ -264,7 +265,7 @@
     let sent = first_call(&mut harness, 1, "check");
     harness.handle(cancel(1));
     harness.advance(50);
-    harness.end(sent.attempt, response(&sent, 200));
+    harness.end_call(sent.attempt, response(&sent, 200));
     harness.advance(300);
     assert!(!harness.log.contains(&Action::Close(sent.lane)));
 }
@@ -276,12 +277,12 @@
     let mut harness = harness(settings(), limits(100, true));
     let sent = first_call(&mut harness, 1, "check");
     harness.handle(Event::Closed(sent.lane));
-    harness.end(sent.attempt, response(&sent, 200));
+    harness.end_call(sent.attempt, response(&sent, 200));
     assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)]);
     for query in 2..30 {
         let next = first_call(&mut harness, query, "check");
         assert_ne!(next.lane, sent.lane);
-        harness.end(next.attempt, response(&next, 200));
+        harness.end_call(next.attempt, response(&next, 200));
     }
 }
 
@@ -297,13 +298,13 @@
         let sheds = &*sent.address == "10.0.0.1:80" && query % 5 != 0;
         if sheds {
             shed += 1;
-            harness.end(sent.attempt, sent.refusal(Reason::TargetShed, 1));
+            harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 1));
             for retry in harness.sent().split_off(1) {
                 harness.advance(10);
-                harness.end(retry.attempt, response(&retry, 200));
+                harness.end_call(retry.attempt, response(&retry, 200));
             }
         } else {
-            harness.end(sent.attempt, response(&sent, 200));
+            harness.end_call(sent.attempt, response(&sent, 200));
         }
     }
     assert!(shed < 60, "{shed} of 300 calls were shed");
@@ -324,14 +325,14 @@
             let alone = query < 6 && !failing.is_empty();
             let eligible = if alone { marks(&failing) } else { marks(&[1, 2]) };
             work.portions[0].eligible = Some(wire::Eligible { servers: eligible });
-            harness.work(work);
-            let fails = |sent: &Sent| {
+            harness.deliver_work(work);
+            let fails = |sent: &SentCall| {
                 let mut failing = failing.iter();
                 failing.any(|number| *sent.address == *format!("10.0.0.{number}:80"))
             };
-            harness.each_sent(|harness, sent| match fails(sent) {
-                true => harness.end(sent.attempt, Outcome::Lost),
-                false => harness.end(sent.attempt, response(sent, 200)),
+            harness.end_each_call(|harness, sent| match fails(sent) {
+                true => harness.end_call(sent.attempt, Outcome::Lost),
+                false => harness.end_call(sent.attempt, response(sent, 200)),
             });
             harness.advance(60);
             harness.connect();
--- a/crates/core/tests/leaf/bed.rs
+++ b/crates/core/tests/leaf/harness.rs
@@ -1,4 +1,4 @@
-//! Test fixture: a leaf machine with one view, a clock and a log of its actions.
+//! Test harness: a leaf machine with one view, a clock and a log of its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +18,14 @@
 
 /// A call that the machine sent.
 #[derive(Clone, Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentCall {
     pub(crate) lane: LaneKey,
     pub(crate) attempt: AttemptKey,
     pub(crate) request: target::Request,
     pub(crate) address: Arc<str>,
 }
 
-impl Sent {
+impl SentCall {
     /// The matching answer to the request.
     pub(crate) fn answer(&self) -> Outcome {
         Outcome::Answer(answer(&self.request, |shard| format!("{shard}: 3 free")))
@@ -57,7 +57,7 @@
 
 /// Fixture that holds the machine under test, the current time, the logged actions and the open
 /// connections.
-pub(crate) struct Bed {
+pub(crate) struct Harness {
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
     pub(crate) log: Vec<Action>,
@@ -162,35 +162,35 @@
     }
 }
 
-/// Cancellation of a query by the entry instance of [`Bed::work`].
+/// Cancellation of a query by the entry instance of [`Harness::deliver_work`].
 pub(crate) fn cancel(query: u64) -> Event {
     Event::Cancel { from: "porto-2".into(), cancel: wire::Cancel { query, incarnation: 9 } }
 }
 
-impl Bed {
-    /// Creates a fixture whose machine owns the service, without established connections.
-    pub(crate) fn cold(settings: Settings, service: Service) -> Self {
-        let mut bed = Self {
+impl Harness {
+    /// Creates a harness whose machine owns the service, without established connections.
+    pub(crate) fn unconnected(settings: Settings, service: Service) -> Self {
+        let mut harness = Self {
             machine: Machine::new(settings),
             now: Instant::from_millis(1000),
             log: Vec::new(),
             opened: Vec::new(),
             query: 1_000_000,
         };
-        bed.handle(view(service));
-        bed
+        harness.handle(view(service));
+        harness
     }
 
-    /// Creates a fixture whose machine owns a service of two servers, with all its connections
+    /// Creates a harness whose machine owns a service of two servers, with all its connections
     /// established.
     pub(crate) fn new() -> Self {
-        Self::with(settings(), service(vec![server(1), server(2)]))
+        Self::connected(settings(), service(vec![server(1), server(2)]))
     }
 
-    pub(crate) fn with(settings: Settings, service: Service) -> Self {
-        let mut bed = Self::cold(settings, service);
-        bed.connect();
-        bed
+    pub(crate) fn connected(settings: Settings, service: Service) -> Self {
+        let mut harness = Self::unconnected(settings, service);
+        harness.connect();
+        harness
     }
 
     pub(crate) fn handle(&mut self, event: Event) {
@@ -220,7 +220,7 @@
     }
 
     /// Closes every established or requested connection; returns the number of closed connections.
-    pub(crate) fn close_all(&mut self) -> usize {
+    pub(crate) fn close_all_connections(&mut self) -> usize {
         let lanes = std::mem::take(&mut self.opened);
         for (lane, _) in &lanes {
             self.handle(Event::Closed(*lane));
@@ -238,11 +238,11 @@
         self.now = end;
     }
 
-    pub(crate) fn work(&mut self, work: wire::Work) {
+    pub(crate) fn deliver_work(&mut self, work: wire::Work) {
         self.handle(Event::Work { from: peer("porto-2"), incarnation: 9, work });
     }
 
-    pub(crate) fn end(&mut self, attempt: AttemptKey, outcome: Outcome) {
+    pub(crate) fn end_call(&mut self, attempt: AttemptKey, outcome: Outcome) {
         if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
             let lane = self.connection_of(attempt);
             self.opened.retain(|(open, _)| Some(*open) != lane);
@@ -251,14 +251,14 @@
     }
 
     /// Clears the log, delivers work for one query and returns the first call.
-    pub(crate) fn ask(&mut self, query: u64, operation: &str) -> Sent {
+    pub(crate) fn deliver_and_take_call(&mut self, query: u64, operation: &str) -> SentCall {
         self.log.clear();
-        self.work(work(query, operation));
+        self.deliver_work(work(query, operation));
         self.sent().remove(0)
     }
 
-    pub(crate) fn answer(&mut self, sent: &Sent) {
-        self.end(sent.attempt, sent.answer());
+    pub(crate) fn answer(&mut self, sent: &SentCall) {
+        self.end_call(sent.attempt, sent.answer());
     }
 
     /// Answers the first call since the log was last cleared.
@@ -266,7 +266,7 @@
         self.answer(&self.sent()[0]);
     }
 
-    pub(crate) fn answer_all(&mut self, calls: impl IntoIterator<Item = Sent>) {
+    pub(crate) fn answer_all(&mut self, calls: impl IntoIterator<Item = SentCall>) {
         for sent in calls {
             self.answer(&sent);
         }
@@ -274,7 +274,7 @@
 
     /// Passes each sent call to `end`, including calls that result from those ends; returns the
     /// number of calls.
-    pub(crate) fn each_sent(&mut self, mut end: impl FnMut(&mut Self, &Sent)) -> usize {
+    pub(crate) fn end_each_call(&mut self, mut end: impl FnMut(&mut Self, &SentCall)) -> usize {
         let mut handled = 0;
         while let Some(sent) = self.sent().get(handled) {
             handled += 1;
@@ -284,9 +284,9 @@
     }
 
     /// Delivers sweeps with these query numbers.
-    pub(crate) fn sweeps(&mut self, queries: impl IntoIterator<Item = u64>) {
+    pub(crate) fn deliver_sweeps(&mut self, queries: impl IntoIterator<Item = u64>) {
         for query in queries {
-            self.work(work(query, "sweep"));
+            self.deliver_work(work(query, "sweep"));
         }
     }
 
@@ -302,7 +302,7 @@
     }
 
     /// Calls sent since the log was last cleared.
-    pub(crate) fn sent(&self) -> Vec<Sent> {
+    pub(crate) fn sent(&self) -> Vec<SentCall> {
         let address_of = |wanted: &LaneKey| {
             let found = self.opened.iter().find(|(lane, _)| lane == wanted);
             found.map_or_else(|| "closed".into(), |(_, address)| Arc::clone(address))
@@ -310,7 +310,7 @@
         self.filter_log(|action| match action {
             Action::Send { lane, attempt, request, .. } => {
                 let (request, address) = (request.clone(), address_of(lane));
-                Some(Sent { lane: *lane, attempt: *attempt, request, address })
+                Some(SentCall { lane: *lane, attempt: *attempt, request, address })
             }
             _ => None,
         })
@@ -331,10 +331,10 @@
 
     /// Answers `count` sweeps one at a time after `millis` each, so that the machine learns call
     /// times, and clears the log.
-    pub(crate) fn teach(&mut self, count: usize, millis: u64) {
+    pub(crate) fn learn_call_times(&mut self, count: usize, millis: u64) {
         for _ in 0..count {
             self.query += 1;
-            let sent = self.ask(self.query, "sweep");
+            let sent = self.deliver_and_take_call(self.query, "sweep");
             self.advance(millis);
             self.answer(&sent);
         }
@@ -342,7 +342,7 @@
     }
 
     /// Connections of the load report requests since the log was last cleared.
-    pub(crate) fn probed(&self) -> Vec<LaneKey> {
+    pub(crate) fn probed_connections(&self) -> Vec<LaneKey> {
         self.filter_log(|action| match action {
             Action::Probe { lane, .. } => Some(*lane),
             _ => None,
@@ -350,7 +350,7 @@
     }
 
     /// Retry delay in the latest reply, in milliseconds.
-    pub(crate) fn retry_after(&self) -> u32 {
+    pub(crate) fn last_retry_after_ms(&self) -> u32 {
         let retry_delays = self.filter_log(|action| match action {
             Action::Reply { reply, .. } => Some(reply.retry_after_ms),
             _ => None,
@@ -360,12 +360,12 @@
 
     /// Sends 4000 sweeps, one per millisecond, to servers that take `call_ms` milliseconds per
     /// call, and returns the queries that were accepted.
-    pub(crate) fn overload(&mut self, call_ms: u64) -> Vec<u64> {
-        let mut running: Vec<(Instant, Sent)> = Vec::new();
+    pub(crate) fn run_overload(&mut self, call_ms: u64) -> Vec<u64> {
+        let mut running: Vec<(Instant, SentCall)> = Vec::new();
         let mut accepted = Vec::new();
         for query in 0..4000 {
             self.log.clear();
-            self.work(work(query, "sweep"));
+            self.deliver_work(work(query, "sweep"));
             if self.replies().is_empty() {
                 accepted.push(query);
             }
--- a/crates/core/tests/leaf/hedge.rs
+++ b/crates/core/tests/leaf/hedge.rs
@@ -7,16 +7,16 @@
 use ladder_core::schema::target::Load;
 use ladder_core::view::Server;
 
-use crate::bed::{Bed, Sent, server, service, settings, work};
+use crate::harness::{Harness, SentCall, server, service, settings, work};
 
 /// Number of calls of 10 ms after which the call times are learned.
 const LEARNING_CALLS: usize = 200;
 /// Address of the first server, docks-1.
 const FIRST: &str = "10.0.0.1:80";
 
-fn learned_harness() -> Bed {
-    let mut harness = Bed::new();
-    harness.teach(LEARNING_CALLS, 10);
+fn learned_harness() -> Harness {
+    let mut harness = Harness::new();
+    harness.learn_call_times(LEARNING_CALLS, 10);
     harness
 }
 
@@ -25,7 +25,7 @@
 #[test]
 fn straggler_is_hedged() {
     let mut harness = learned_harness();
-    harness.work(work(1, "sweep"));
+    harness.deliver_work(work(1, "sweep"));
     harness.advance(9);
     assert_eq!(harness.sent().len(), 1);
     harness.advance(5);
@@ -53,7 +53,7 @@
 #[test]
 fn non_idempotent_call_is_not_hedged() {
     let mut harness = learned_harness();
-    harness.work(work(1, "book"));
+    harness.deliver_work(work(1, "book"));
     harness.advance(400);
     assert_eq!(harness.sent().len(), 1);
 }
@@ -63,9 +63,9 @@
 #[test]
 fn hedges_stay_within_the_budget() {
     let wide = |number| Server { slots: 50, share: 60, ..server(number) };
-    let mut harness = Bed::with(settings(), service(vec![wide(1), wide(2)]));
-    harness.teach(LEARNING_CALLS, 10);
-    harness.sweeps(0..30);
+    let mut harness = Harness::connected(settings(), service(vec![wide(1), wide(2)]));
+    harness.learn_call_times(LEARNING_CALLS, 10);
+    harness.deliver_sweeps(0..30);
     harness.advance(100);
     let hedges = harness.counted(count::Event::Hedge, Reason::Hedge);
     assert_eq!(harness.sent().len(), 30 + hedges);
@@ -73,20 +73,20 @@
 }
 
 /// Puts docks-1 into a state in which it must not get hedges.
-type Disturb = fn(&mut Bed, &dyn Fn(Load) -> Event);
+type Disturb = fn(&mut Harness, &dyn Fn(Load) -> Event);
 
 /// Ends calls at docks-1 with this outcome until `count` of them have ended.
-fn fail(harness: &mut Bed, count: usize, outcome: fn(&Sent) -> Outcome) {
+fn fail(harness: &mut Harness, count: usize, outcome: fn(&SentCall) -> Outcome) {
     let mut failed = 0;
     for round in 0..20 {
         harness.log.clear();
         for booking in 0..4 {
-            harness.work(work(5000 + 4 * round + booking, "book"));
+            harness.deliver_work(work(5000 + 4 * round + booking, "book"));
         }
-        harness.each_sent(|harness, sent| {
+        harness.end_each_call(|harness, sent| {
             let at_first = &*sent.address == FIRST && failed < count;
             failed += usize::from(at_first);
-            harness.end(sent.attempt, if at_first { outcome(sent) } else { sent.answer() });
+            harness.end_call(sent.attempt, if at_first { outcome(sent) } else { sent.answer() });
         });
         harness.connect();
         if failed == count {
@@ -97,9 +97,9 @@
 }
 
 /// Sends a sweep whose first call goes to docks-2 and leaves the call open.
-fn open_call_at_second_server(harness: &mut Bed) {
+fn open_call_at_second_server(harness: &mut Harness) {
     for query in 9000..9010 {
-        let sent = harness.ask(query, "sweep");
+        let sent = harness.deliver_and_take_call(query, "sweep");
         if &*sent.address != FIRST {
             return;
         }
@@ -135,15 +135,15 @@
 }
 #[test]
 fn no_hedge_before_times_are_learned_or_when_disabled() {
-    let mut unlearned = Bed::new();
-    unlearned.teach(20, 10);
+    let mut unlearned = Harness::new();
+    unlearned.learn_call_times(20, 10);
     let off = ladder_core::leaf::Settings::builder("porto-1", 7).hedging(false).build();
-    let mut off = Bed::with(off, service(vec![server(1), server(2)]));
-    off.teach(LEARNING_CALLS, 10);
-    let mut alone = Bed::with(settings(), service(vec![server(1)]));
-    alone.teach(LEARNING_CALLS, 10);
+    let mut off = Harness::connected(off, service(vec![server(1), server(2)]));
+    off.learn_call_times(LEARNING_CALLS, 10);
+    let mut alone = Harness::connected(settings(), service(vec![server(1)]));
+    alone.learn_call_times(LEARNING_CALLS, 10);
     for harness in [&mut unlearned, &mut off, &mut alone] {
-        harness.work(work(1, "sweep"));
+        harness.deliver_work(work(1, "sweep"));
         harness.advance(400);
         assert_eq!(harness.sent().len(), 1);
     }
--- a/crates/core/tests/leaf/once.rs
+++ b/crates/core/tests/leaf/idempotency.rs
@@ -5,7 +5,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::wire;
 
-use crate::bed::{Bed, Sent, cancel, peer, server, service, settings, work};
+use crate::harness::{Harness, SentCall, cancel, peer, server, service, settings, work};
 
 /// Result of the first delivery before the second one arrives.
 #[derive(Clone, Copy, Debug)]
@@ -31,35 +31,35 @@
 }
 
 /// Fills all slots, so that later work is queued.
-fn fill(harness: &mut Bed) -> Vec<Sent> {
-    harness.sweeps(100..104);
+fn fill(harness: &mut Harness) -> Vec<SentCall> {
+    harness.deliver_sweeps(100..104);
     harness.sent()
 }
 
-fn first_delivery(harness: &mut Bed, first: First) {
+fn first_delivery(harness: &mut Harness, first: First) {
     if let First::Cancelled = first {
         let slot_calls = fill(harness);
-        harness.work(booking(1, 1));
+        harness.deliver_work(booking(1, 1));
         harness.handle(cancel(1));
         harness.answer_all(slot_calls);
         return;
     }
     if !matches!(first, First::None) {
-        harness.work(booking(1, 1));
+        harness.deliver_work(booking(1, 1));
     }
     let Some(sent) = harness.sent().pop() else {
         return;
     };
     match first {
         First::Answered => harness.answer(&sent),
-        First::Lost => harness.end(sent.attempt, Outcome::Lost),
+        First::Lost => harness.end_call(sent.attempt, Outcome::Lost),
         First::LateAnswer => {
             harness.handle(cancel(1));
             harness.answer(&sent);
         }
         First::RefusedLate => {
             harness.handle(cancel(1));
-            harness.end(sent.attempt, sent.refusal(Reason::TargetShed, 0));
+            harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 0));
             harness.advance(50);
         }
         _ => {}
@@ -89,10 +89,10 @@
         case(First::RefusedLate, 2, true),
     ];
     for case in cases {
-        let mut harness = Bed::new();
+        let mut harness = Harness::new();
         first_delivery(&mut harness, case.first);
         harness.log.clear();
-        harness.work(booking(2, case.attempt));
+        harness.deliver_work(booking(2, case.attempt));
         let name = format!("{:?}, then attempt {}", case.first, case.attempt);
         assert_eq!(harness.sent().len(), usize::from(case.runs), "{name}");
         let refused = [(Verdict::MayHaveRun, Reason::RepeatedKey)];
@@ -106,17 +106,17 @@
 /// the first owner must not count as proof that attempt 1 did not run anywhere.
 #[test]
 fn refusal_as_not_run_is_no_proof_for_the_next_attempt() {
-    let mut harness = Bed::new();
+    let mut harness = Harness::new();
     fill(&mut harness);
-    harness.work(booking(1, 1));
+    harness.deliver_work(booking(1, 1));
     harness.advance(499);
     assert!(harness.replies().contains(&(Verdict::NotRun, Reason::Deadline)));
     harness.answer_all(harness.sent());
     harness.log.clear();
-    harness.work(booking(2, 2));
+    harness.deliver_work(booking(2, 2));
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::RepeatedKey)]);
     harness.log.clear();
-    harness.work(booking(3, 1));
+    harness.deliver_work(booking(3, 1));
     assert_eq!(harness.sent().len(), 1);
 }
 
@@ -125,15 +125,15 @@
 /// key as withdrawn by its entry instance, which may have run the booking elsewhere since.
 #[test]
 fn refusal_as_cancelled_by_servers_is_no_cancellation() {
-    let mut harness = Bed::new();
-    harness.work(booking(1, 1));
-    let calls = harness.each_sent(|harness, sent| {
-        harness.end(sent.attempt, sent.refusal(Reason::Cancelled, 0));
+    let mut harness = Harness::new();
+    harness.deliver_work(booking(1, 1));
+    let calls = harness.end_each_call(|harness, sent| {
+        harness.end_call(sent.attempt, sent.refusal(Reason::Cancelled, 0));
     });
     assert!(calls > 1, "the call is retried at another server");
     assert_eq!(harness.replies(), [(Verdict::NotRun, Reason::TargetTimeout)]);
     harness.log.clear();
-    harness.work(booking(2, 2));
+    harness.deliver_work(booking(2, 2));
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::RepeatedKey)]);
 }
 
@@ -142,9 +142,9 @@
 #[test]
 fn work_that_arrives_after_its_cancellation_does_not_run() {
     for operation in ["sweep", "book"] {
-        let mut harness = Bed::new();
+        let mut harness = Harness::new();
         harness.handle(cancel(1));
-        harness.work(work(1, operation));
+        harness.deliver_work(work(1, operation));
         assert_eq!(harness.replies(), [(Verdict::NotRun, Reason::Cancelled)]);
         assert!(harness.sent().is_empty());
     }
@@ -160,12 +160,12 @@
         incarnation: 9,
         work: wire::Work { key: format!("other-{query}"), ..work(query, "sweep") },
     };
-    let mut harness = Bed::new();
+    let mut harness = Harness::new();
     for query in [1, 2] {
-        harness.work(work(query, "sweep"));
+        harness.deliver_work(work(query, "sweep"));
         harness.handle(other(query));
         // The first two calls are sent; the sweeps after them are queued.
-        harness.sweeps(query * 100..query * 100 + 2);
+        harness.deliver_sweeps(query * 100..query * 100 + 2);
     }
     for query in 1..=3 {
         harness.handle(cancel(query));
@@ -174,7 +174,7 @@
     let cancelled =
         [(Verdict::MayHaveRun, Reason::Cancelled), (Verdict::NotRun, Reason::Cancelled)];
     assert_eq!(harness.replies(), cancelled, "only the queries of porto-2");
-    harness.each_sent(Bed::answer);
+    harness.end_each_call(Harness::answer);
     let ran = harness.replies().split_off(cancelled.len());
     assert_eq!(ran, [(Verdict::Ran, Reason::Unspecified); 7]);
 }
@@ -184,8 +184,8 @@
 #[test]
 fn only_idempotent_calls_are_cancelled_at_the_server() {
     for (operation, cancels) in [("sweep", 1), ("book", 0)] {
-        let mut harness = Bed::new();
-        harness.work(work(1, operation));
+        let mut harness = Harness::new();
+        harness.deliver_work(work(1, operation));
         harness.handle(cancel(1));
         let sent = harness.log.iter().filter(|action| matches!(action, Action::Cancel { .. }));
         assert_eq!(sent.count(), cancels, "{operation}");
@@ -198,12 +198,12 @@
 #[test]
 fn duplicated_delivery_is_ignored() {
     for operation in ["sweep", "book"] {
-        let mut harness = Bed::new();
-        harness.work(work(1, operation));
-        harness.work(work(1, operation));
+        let mut harness = Harness::new();
+        harness.deliver_work(work(1, operation));
+        harness.deliver_work(work(1, operation));
         assert_eq!(harness.sent().len(), 1);
         harness.answer_first();
-        harness.work(work(1, operation));
+        harness.deliver_work(work(1, operation));
         assert_eq!(harness.sent().len(), 1);
         assert_eq!(harness.replies().len(), 1);
     }
@@ -213,9 +213,9 @@
 /// owner must respect that.
 #[test]
 fn catalogue_makes_an_operation_non_idempotent() {
-    let mut harness = Bed::new();
-    harness.work(wire::Work { unrepeatable: false, ..work(1, "book") });
-    harness.end(harness.sent()[0].attempt, Outcome::Lost);
+    let mut harness = Harness::new();
+    harness.deliver_work(wire::Work { unrepeatable: false, ..work(1, "book") });
+    harness.end_call(harness.sent()[0].attempt, Outcome::Lost);
     assert_eq!(harness.sent().len(), 1);
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::TargetLost)]);
 }
@@ -224,13 +224,13 @@
 #[test]
 fn records_expire() {
     for (attempt, runs) in [(1, true), (2, false)] {
-        let mut harness = Bed::with(settings(), service(vec![server(1), server(2)]));
-        harness.work(booking(1, 1));
+        let mut harness = Harness::connected(settings(), service(vec![server(1), server(2)]));
+        harness.deliver_work(booking(1, 1));
         harness.answer_first();
         harness.advance(601_000);
         harness.connect();
         harness.log.clear();
-        harness.work(booking(2, attempt));
+        harness.deliver_work(booking(2, attempt));
         assert_eq!(harness.sent().len(), usize::from(runs), "attempt {attempt}");
     }
 }
--- a/crates/core/tests/leaf/lanes.rs
+++ b/crates/core/tests/leaf/lanes.rs
@@ -7,7 +7,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::view::{Server, Service};
 
-use crate::bed::{Bed, server, service, settings, view, work};
+use crate::harness::{Harness, server, service, settings, view, work};
 
 fn server_with_share(share: u32) -> Server {
     Server { share, ..server(1) }
@@ -44,8 +44,8 @@
         case("owner after the first candidate died", service_with_earlier_candidates(1, false), 4),
     ];
     for case in cases {
-        let bed = Bed::with(settings(), case.service);
-        assert_eq!(bed.opened.len(), case.connections, "{}", case.name);
+        let harness = Harness::connected(settings(), case.service);
+        assert_eq!(harness.opened.len(), case.connections, "{}", case.name);
     }
 }
 
@@ -54,36 +54,36 @@
 /// and close the connections later.
 #[test]
 fn first_fallback_owner_opens_connections_for_work_and_closes_them_later() {
-    let mut bed = Bed::with(settings(), service_with_earlier_candidates(1, true));
-    bed.sweeps(0..3);
-    bed.connect();
-    assert_eq!(bed.opened.len(), 4);
-    bed.answer_all(bed.sent());
-    bed.answer_all(bed.sent().into_iter().skip(2));
-    assert_eq!(bed.machine.open(), 0);
+    let mut harness = Harness::connected(settings(), service_with_earlier_candidates(1, true));
+    harness.deliver_sweeps(0..3);
+    harness.connect();
+    assert_eq!(harness.opened.len(), 4);
+    harness.answer_all(harness.sent());
+    harness.answer_all(harness.sent().into_iter().skip(2));
+    assert_eq!(harness.machine.open(), 0);
     for _ in 0..100 {
-        bed.advance(100);
-        for lane in bed.probed() {
-            bed.handle(Event::Opened(lane));
+        harness.advance(100);
+        for lane in harness.probed_connections() {
+            harness.handle(Event::Opened(lane));
         }
     }
-    assert_eq!(bed.opened.len(), 1);
+    assert_eq!(harness.opened.len(), 1);
 }
 
 /// The platform publishes more instances, so every connection share shrinks. Connections beyond the
 /// share must be closed, but not while they carry a call.
 #[test]
 fn smaller_share_closes_idle_connections_only() {
-    let mut bed = Bed::with(settings(), service(vec![server_with_share(6)]));
-    bed.work(work(1, "sweep"));
-    bed.work(work(2, "sweep"));
-    bed.handle(view(service(vec![server_with_share(1)])));
-    assert_eq!(bed.opened.len(), 2);
-    let sent = bed.sent();
-    bed.answer(&sent[0]);
-    assert_eq!(bed.opened.len(), 1);
-    bed.answer(&sent[1]);
-    assert_eq!(bed.opened.len(), 1);
+    let mut harness = Harness::connected(settings(), service(vec![server_with_share(6)]));
+    harness.deliver_work(work(1, "sweep"));
+    harness.deliver_work(work(2, "sweep"));
+    harness.handle(view(service(vec![server_with_share(1)])));
+    assert_eq!(harness.opened.len(), 2);
+    let sent = harness.sent();
+    harness.answer(&sent[0]);
+    assert_eq!(harness.opened.len(), 1);
+    harness.answer(&sent[1]);
+    assert_eq!(harness.opened.len(), 1);
 }
 
 /// A call timed out. Its answer may still arrive on the connection and would be taken for the next
@@ -91,16 +91,16 @@
 #[test]
 fn connection_of_a_lost_call_is_replaced() {
     for outcome in [Outcome::Lost, Outcome::Error, Outcome::Unsent] {
-        let mut bed = Bed::with(settings(), service(vec![server(1)]));
-        bed.work(work(1, "book"));
-        let sent = bed.sent();
-        bed.log.clear();
-        bed.end(sent[0].attempt, outcome);
-        let opens = bed.log.iter().filter(|action| matches!(action, Action::Open { .. }));
+        let mut harness = Harness::connected(settings(), service(vec![server(1)]));
+        harness.deliver_work(work(1, "book"));
+        let sent = harness.sent();
+        harness.log.clear();
+        harness.end_call(sent[0].attempt, outcome);
+        let opens = harness.log.iter().filter(|action| matches!(action, Action::Open { .. }));
         assert_eq!(opens.count(), 1);
-        bed.connect();
-        bed.work(work(2, "sweep"));
-        let next = bed.sent().pop().expect("a call");
+        harness.connect();
+        harness.deliver_work(work(2, "sweep"));
+        let next = harness.sent().pop().expect("a call");
         assert_ne!(next.lane, sent[0].lane);
     }
 }
@@ -109,22 +109,22 @@
 /// restarts.
 #[test]
 fn failed_connections_are_reopened_with_growing_delay() {
-    let mut bed = Bed::cold(settings(), service(vec![server(1)]));
+    let mut harness = Harness::unconnected(settings(), service(vec![server(1)]));
     let mut opens = 0;
     for _ in 0..1000 {
-        opens += bed.close_all();
-        bed.advance(20);
+        opens += harness.close_all_connections();
+        harness.advance(20);
     }
     assert!((8..=24).contains(&opens), "{opens} connections in 20 s");
 }
 
 #[test]
 fn changed_address_replaces_the_connections() {
-    let mut bed = Bed::with(settings(), service(vec![server(1)]));
+    let mut harness = Harness::connected(settings(), service(vec![server(1)]));
     let server_with_new_address = Server { address: "10.0.0.9:80".into(), ..server(1) };
-    bed.handle(view(service(vec![server_with_new_address])));
-    assert!(bed.opened.iter().all(|(_, address)| &**address == "10.0.0.9:80"));
-    assert_eq!(bed.opened.len(), 4);
+    harness.handle(view(service(vec![server_with_new_address])));
+    assert!(harness.opened.iter().all(|(_, address)| &**address == "10.0.0.9:80"));
+    assert_eq!(harness.opened.len(), 4);
 }
 
 /// Guards against permanent refusals after servers were unreachable for a while. Where servers
@@ -137,34 +137,34 @@
         Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
     let by_need_settings =
         Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
-    let mut bed = Bed::cold(by_need_settings, scarce_service);
+    let mut harness = Harness::unconnected(by_need_settings, scarce_service);
     let mut last_query = 0;
-    let mut send_sweep = |bed: &mut Bed| {
+    let mut send_sweep = |harness: &mut Harness| {
         last_query += 1;
-        bed.log.clear();
-        bed.work(work(last_query, "sweep"));
-        bed.replies().first().copied()
+        harness.log.clear();
+        harness.deliver_work(work(last_query, "sweep"));
+        harness.replies().first().copied()
     };
     let mut refused = false;
     for _ in 0..100 {
-        refused |= send_sweep(&mut bed) == Some((Verdict::NotRun, Reason::ConnectFailed));
-        bed.close_all();
-        bed.advance(100);
-        bed.close_all();
+        refused |= send_sweep(&mut harness) == Some((Verdict::NotRun, Reason::ConnectFailed));
+        harness.close_all_connections();
+        harness.advance(100);
+        harness.close_all_connections();
     }
     assert!(refused, "work is refused while no server is reachable");
     let mut served = false;
     for _ in 0..100 {
-        send_sweep(&mut bed);
-        bed.advance(100);
-        bed.connect();
-        served |= !bed.sent().is_empty();
-        bed.answer_all(bed.sent());
+        send_sweep(&mut harness);
+        harness.advance(100);
+        harness.connect();
+        served |= !harness.sent().is_empty();
+        harness.answer_all(harness.sent());
     }
     assert!(served, "the servers accept connections again");
     // Without further work, the connections must be closed.
-    bed.advance(30_000);
-    assert_eq!(bed.opened.len(), 0, "no connection without work");
+    harness.advance(30_000);
+    assert_eq!(harness.opened.len(), 0, "no connection without work");
 }
 
 /// Guards against endless connection attempts without work. The servers of a shard are gone, and
@@ -176,13 +176,13 @@
         Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
     let by_need_settings =
         Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
-    let mut bed = Bed::cold(by_need_settings, scarce_service);
-    bed.work(work(1, "sweep"));
+    let mut harness = Harness::unconnected(by_need_settings, scarce_service);
+    harness.deliver_work(work(1, "sweep"));
     let mut opened = 0;
     for round in 0..600 {
-        let closed = bed.close_all();
+        let closed = harness.close_all_connections();
         opened += if round >= 100 { closed } else { 0 };
-        bed.advance(100);
+        harness.advance(100);
     }
     assert_eq!(opened, 0, "after ten seconds without work");
 }
@@ -199,26 +199,26 @@
     for seed in 0..20 {
         let by_need_settings =
             Settings::builder("porto-1", 7).seed(seed).by_need(true).probing(false).build();
-        let mut bed = Bed::cold(by_need_settings, scarce_service.clone());
+        let mut harness = Harness::unconnected(by_need_settings, scarce_service.clone());
         let mut last_query = 0;
-        let mut send_sweep = |bed: &mut Bed| {
+        let mut send_sweep = |harness: &mut Harness| {
             last_query += 1;
-            bed.log.clear();
-            bed.work(work(last_query, "sweep"));
+            harness.log.clear();
+            harness.deliver_work(work(last_query, "sweep"));
         };
         for _ in 0..200 {
-            send_sweep(&mut bed);
-            bed.close_all();
-            bed.advance(50);
-            bed.close_all();
+            send_sweep(&mut harness);
+            harness.close_all_connections();
+            harness.advance(50);
+            harness.close_all_connections();
         }
-        let recovered_at = bed.now;
-        while bed.sent().is_empty() {
-            send_sweep(&mut bed);
-            bed.advance(50);
-            bed.connect();
+        let recovered_at = harness.now;
+        while harness.sent().is_empty() {
+            send_sweep(&mut harness);
+            harness.advance(50);
+            harness.connect();
         }
-        let delay = bed.now.since(recovered_at);
+        let delay = harness.now.since(recovered_at);
         if delay > Duration::from_millis(1500) {
             too_late.push((seed, delay));
         }
--- a/crates/core/tests/leaf/main.rs
+++ b/crates/core/tests/leaf/main.rs
@@ -2,21 +2,21 @@
 
 mod aggregate;
 mod attempts;
-mod bed;
 mod crash;
 mod dispatch;
 mod exclusion;
 mod forward;
+mod harness;
 mod hedge;
+mod idempotency;
 mod lanes;
-mod load;
-mod once;
-mod open;
+mod open_calls;
+mod overload;
 mod property;
 mod queue;
 mod servers;
 mod session;
 mod siblings;
+mod simulation;
 mod stop;
 mod warmup;
-mod world;
--- a/crates/core/tests/leaf/open.rs
+++ b/crates/core/tests/leaf/open_calls.rs
@@ -1,4 +1,4 @@
-//! Open calls of a test fixture, for property tests that end calls in any order.
+//! Open calls of a test harness, for property tests that end calls in any order.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use ladder_core::leaf::event::{LaneKey, Outcome};
 use ladder_core::schema::outcome::Reason;
 
-use crate::bed::{Bed, Sent};
+use crate::harness::{Harness, SentCall};
 
 /// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
@@ -18,16 +18,16 @@
     Shed,
 }
 
-/// Open calls of a fixture, and the server address of every connection opened so far.
+/// Open calls of a harness, and the server address of every connection opened so far.
 #[derive(Default)]
-pub(crate) struct Open {
+pub(crate) struct OpenCalls {
     server_by_connection: Map<LaneKey, Arc<str>>,
-    open_calls: Vec<Sent>,
+    open_calls: Vec<SentCall>,
 }
 
-impl Open {
+impl OpenCalls {
     /// Ends one of the open calls, if there are any; `at` selects the call.
-    pub(crate) fn end(&mut self, bed: &mut Bed, at: u8, end: End) {
+    pub(crate) fn end_call(&mut self, harness: &mut Harness, at: u8, end: End) {
         if self.open_calls.is_empty() {
             return;
         }
@@ -37,24 +37,24 @@
             End::Lost => Outcome::Lost,
             End::Shed => sent.refusal(Reason::TargetShed, 5),
         };
-        bed.end(sent.attempt, outcome);
+        harness.end_call(sent.attempt, outcome);
     }
 
-    /// Records the servers of the fixture's connections, so that calls on connections that the
-    /// fixture closes later can still be assigned to their servers.
-    pub(crate) fn note(&mut self, bed: &Bed) {
-        self.server_by_connection.extend(bed.opened.iter().cloned());
+    /// Records the servers of the harness's connections, so that calls on connections that the
+    /// harness closes later can still be assigned to their servers.
+    pub(crate) fn record_connections(&mut self, harness: &Harness) {
+        self.server_by_connection.extend(harness.opened.iter().cloned());
     }
 
-    /// Adds the calls sent since the fixture's log was last cleared, and returns the addresses of
+    /// Adds the calls sent since the harness's log was last cleared, and returns the addresses of
     /// their servers.
-    pub(crate) fn take(&mut self, bed: &Bed) -> Vec<Arc<str>> {
-        self.note(bed);
-        let sent = bed.sent();
+    pub(crate) fn add_sent_calls(&mut self, harness: &Harness) -> Vec<Arc<str>> {
+        self.record_connections(harness);
+        let sent = harness.sent();
         let addresses =
             sent.iter().map(|sent| Arc::clone(&self.server_by_connection[&sent.lane])).collect();
         self.open_calls.extend(sent);
-        self.open_calls.retain(|sent| bed.opened.iter().any(|(lane, _)| *lane == sent.lane));
+        self.open_calls.retain(|sent| harness.opened.iter().any(|(lane, _)| *lane == sent.lane));
         addresses
     }
 }
--- a/crates/core/tests/leaf/load.rs
+++ b/crates/core/tests/leaf/overload.rs
@@ -18,7 +18,7 @@
 use ladder_core::time::Instant;
 use ladder_core::view::{Server, Service};
 
-use crate::bed::{Bed, Sent, limited, peer, server, service, settings, view, work};
+use crate::harness::{Harness, SentCall, limited, peer, server, service, settings, view, work};
 
 /// A kind of sweep, with its processing time and latency objective.
 #[derive(Clone, Copy)]
@@ -47,20 +47,20 @@
     }
 }
 
-fn harness() -> Bed {
+fn harness() -> Harness {
     let limits = Limits { queue: 1000, extra_percent: 20, ..Limits::default() };
-    Bed::with(settings(), limited(limits, vec![server(1), server(2)]))
+    Harness::connected(settings(), limited(limits, vec![server(1), server(2)]))
 }
 
 /// A running call with its end time.
 struct Running {
     due: Instant,
-    sent: Sent,
+    sent: SentCall,
 }
 
 /// Drives a harness whose servers process work at the speeds given by `slowdown`.
 struct LoadDriver {
-    harness: Bed,
+    harness: Harness,
     /// Factor on the processing time of each server, by address.
     slowdown: fn(&str) -> u64,
     running: Vec<Running>,
@@ -87,7 +87,7 @@
     fn arrive(&mut self, query: u64, sweep: Sweep) {
         let work = sweep.work(query);
         self.arrived.insert(work.key.clone(), (sweep, self.harness.now));
-        self.harness.work(work);
+        self.harness.deliver_work(work);
         self.take_sent();
     }
 
@@ -181,10 +181,10 @@
 #[test]
 fn connections_are_opened_by_need_and_closed_again() {
     let settings = Settings::builder("porto-1", 7).seed(1).by_need(true).build();
-    let mut harness = Bed::with(settings, service(vec![server(1), server(2)]));
+    let mut harness = Harness::connected(settings, service(vec![server(1), server(2)]));
     assert_eq!(harness.opened.len(), 2, "one connection per server is opened in advance");
     for query in 0..8 {
-        harness.work(work(query, "sweep"));
+        harness.deliver_work(work(query, "sweep"));
     }
     harness.connect();
     assert_eq!(
@@ -194,7 +194,7 @@
     );
     let calls = harness.sent();
     harness.answer_all(calls);
-    harness.each_sent(Bed::answer);
+    harness.end_each_call(Harness::answer);
     for _ in 0..12 {
         harness.advance(1000);
     }
@@ -208,10 +208,10 @@
 #[test]
 fn server_gets_one_extra_call_while_work_is_queued() {
     let settings = Settings::builder("porto-1", 7).seed(1).by_need(true).hedging(false).build();
-    let mut harness = Bed::with(settings, service(vec![server(1)]));
-    harness.teach(100, 10);
+    let mut harness = Harness::connected(settings, service(vec![server(1)]));
+    harness.learn_call_times(100, 10);
     for query in 1000..1006 {
-        harness.work(work(query, "sweep"));
+        harness.deliver_work(work(query, "sweep"));
     }
     harness.connect();
     let calls = harness.sent();
@@ -236,7 +236,7 @@
 fn repeated_work_spends_extra_calls() {
     let limits =
         Limits { queue: 1000, extra_percent: 20, count_refused: true, ..Limits::default() };
-    let mut harness = Bed::with(settings(), limited(limits, vec![server(1), server(2)]));
+    let mut harness = Harness::connected(settings(), limited(limits, vec![server(1), server(2)]));
     let mut send_work = |queries: std::ops::Range<u64>, repeated: bool| {
         harness.log.clear();
         for query in queries {
@@ -244,7 +244,7 @@
             work.portions[0].repeated = repeated;
             // A call that a peer refused before it reached any server counts as a first call.
             work.extra_calls = 1;
-            harness.work(work);
+            harness.deliver_work(work);
             harness.advance(10);
             let calls = harness.sent();
             calls.last().into_iter().for_each(|sent| harness.answer(sent));
@@ -269,9 +269,9 @@
 #[test]
 fn restarted_server_keeps_no_old_state() {
     let with_incarnation = |incarnation| Server { incarnation, ..server(1) };
-    let mut harness = Bed::with(settings(), service(vec![with_incarnation(5)]));
-    let sweep = harness.ask(1, "sweep");
-    let booking = harness.ask(2, "book");
+    let mut harness = Harness::connected(settings(), service(vec![with_incarnation(5)]));
+    let sweep = harness.deliver_and_take_call(1, "sweep");
+    let booking = harness.deliver_and_take_call(2, "book");
     harness.log.clear();
     harness.handle(view(service(vec![with_incarnation(6)])));
     assert_eq!(harness.replies(), [(Verdict::MayHaveRun, Reason::TargetLost)], "the booking");
@@ -281,13 +281,13 @@
     assert_ne!(again[0].lane, sweep.lane);
     harness.log.clear();
     harness.handle(view(service(vec![Server { leaving: true, ..with_incarnation(5) }])));
-    harness.end(again[0].attempt, again[0].answer());
+    harness.end_call(again[0].attempt, again[0].answer());
     assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)]);
-    let after = harness.ask(3, "sweep");
+    let after = harness.deliver_and_take_call(3, "sweep");
     assert!(!after.request.key.is_empty(), "the old incarnation was leaving, the new one is not");
-    let late = Outcome::Answer(crate::bed::answer(&booking.request, str::to_owned));
+    let late = Outcome::Answer(crate::harness::answer(&booking.request, str::to_owned));
     harness.log.clear();
-    harness.end(booking.attempt, late);
+    harness.end_call(booking.attempt, late);
     assert!(harness.replies().is_empty(), "an answer of the old process must be ignored");
 }
 
@@ -318,8 +318,8 @@
             ..Limits::default()
         };
         let listed = limited(limits, vec![server(1), server(2)]);
-        let mut harness = Bed::with(settings(), Service { sharers: 60, scarce, ..listed });
-        let send_work = |harness: &mut Bed, query: u64| {
+        let mut harness = Harness::connected(settings(), Service { sharers: 60, scarce, ..listed });
+        let send_work = |harness: &mut Harness, query: u64| {
             let work = LARGE.work(query);
             harness.handle(Event::Work { from: peer(from), incarnation: 9, work });
         };
@@ -364,13 +364,13 @@
             ..Limits::default()
         };
         let listed = limited(limits, vec![server(1), server(2)]);
-        let mut harness = Bed::with(settings(), Service { sharers, ..listed });
-        let lose = |harness: &mut Bed, queries: std::ops::Range<u64>| {
+        let mut harness = Harness::connected(settings(), Service { sharers, ..listed });
+        let lose = |harness: &mut Harness, queries: std::ops::Range<u64>| {
             harness.log.clear();
             for query in queries {
                 let mut work = LARGE.work(query);
                 work.portions[0].repeated = true;
-                harness.work(work);
+                harness.deliver_work(work);
                 harness.advance(10);
                 let calls = harness.sent();
                 calls.last().into_iter().for_each(|sent| harness.answer(sent));
@@ -410,25 +410,25 @@
     ];
     for Case { waiting, hedged } in cases {
         let mut harness = harness();
-        let answered = |harness: &mut Bed, sent: &Sent| {
+        let answered = |harness: &mut Harness, sent: &SentCall| {
             let occupancy = target::Occupancy { running: 1, waiting, slots: 2 };
             match sent.answer() {
                 Outcome::Answer(answer) => {
                     let answer = target::Answer { occupancy: Some(occupancy), ..answer };
-                    harness.end(sent.attempt, Outcome::Answer(answer));
+                    harness.end_call(sent.attempt, Outcome::Answer(answer));
                 }
                 _ => panic!("an answer"),
             }
         };
         for query in 0..60 {
             harness.log.clear();
-            harness.work(LARGE.work(query));
+            harness.deliver_work(LARGE.work(query));
             harness.advance(28);
             let sent = harness.sent().remove(0);
             answered(&mut harness, &sent);
         }
         harness.log.clear();
-        harness.work(LARGE.work(100));
+        harness.deliver_work(LARGE.work(100));
         harness.advance(100);
         assert_eq!(
             harness.sent().len(),
@@ -444,12 +444,12 @@
 #[test]
 fn load_is_known_from_the_first_answers() {
     let mut harness = harness();
-    harness.work(LARGE.work(1));
+    harness.deliver_work(LARGE.work(1));
     let sent = harness.sent().remove(0);
     let occupancy = target::Occupancy { running: 2, waiting: 1, slots: 2 };
     let Outcome::Answer(answer) = sent.answer() else { panic!("an answer") };
     harness.log.clear();
-    harness.end(
+    harness.end_call(
         sent.attempt,
         Outcome::Answer(target::Answer { occupancy: Some(occupancy), ..answer }),
     );
--- a/crates/core/tests/leaf/property.rs
+++ b/crates/core/tests/leaf/property.rs
@@ -11,8 +11,8 @@
 use ladder_core::time::Instant;
 use ladder_core::view::Server;
 
-use crate::bed;
-use crate::world::{Call, Lane, Model, payload};
+use crate::harness;
+use crate::simulation::{Call, Lane, Simulation, payload};
 
 /// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
@@ -49,15 +49,15 @@
 
 struct Run {
     machine: Machine,
-    model: Model,
+    simulation: Simulation,
 }
 
 impl Run {
     fn new() -> Self {
         let settings = Settings::builder("porto-1", 7).seed(3).build();
-        let servers = vec![bed::server(1), bed::server(2), bed::server(3)];
-        let model = Model::new(Instant::from_millis(1000), servers);
-        let mut run = Self { machine: Machine::new(settings), model };
+        let servers = vec![harness::server(1), harness::server(2), harness::server(3)];
+        let simulation = Simulation::new(Instant::from_millis(1000), servers);
+        let mut run = Self { machine: Machine::new(settings), simulation };
         run.publish();
         run.teach();
         run
@@ -76,24 +76,24 @@
 
     fn handle(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.machine.handle(self.model.now, event, &mut out);
-        self.model.check(&out);
+        self.machine.handle(self.simulation.now, event, &mut out);
+        self.simulation.check(&out);
     }
 
     fn publish(&mut self) {
-        let servers = self.model.servers.clone();
-        self.handle(bed::view(bed::service(servers)));
+        let servers = self.simulation.servers.clone();
+        self.handle(harness::view(harness::service(servers)));
     }
 
     fn step(&mut self, step: Step) {
         match step {
             Step::Work { query, round, operation, attempt, budget } => {
-                self.work(query, round, operation, attempt, budget);
+                self.deliver_work(query, round, operation, attempt, budget);
             }
-            Step::Cancel { query } => self.handle(bed::cancel(u64::from(query % 16))),
+            Step::Cancel { query } => self.handle(harness::cancel(u64::from(query % 16))),
             Step::Connect(which) => self.complete_connection(which),
             Step::Drop(which) => self.close_connection(which),
-            Step::End(which, end) => self.end(which, end),
+            Step::End(which, end) => self.end_call(which, end),
             Step::Load { server, cold } => self.load(server, cold),
             Step::Share(which, share) => self.update(which, |s| s.share = u32::from(share % 8)),
             Step::Slots(which, slots) => self.update(which, |s| s.slots = 1 + u32::from(slots % 3)),
@@ -104,7 +104,7 @@
         }
     }
 
-    fn work(&mut self, query: u8, round: u8, operation: u8, attempt: u8, budget: u8) {
+    fn deliver_work(&mut self, query: u8, round: u8, operation: u8, attempt: u8, budget: u8) {
         let operation = ["sweep", "check", "rounds", "book"][usize::from(operation % 4)];
         let (query, round) = (u64::from(query % 16), u32::from(round % 3));
         self.deliver(query, round, operation, attempt % 3, budget);
@@ -117,46 +117,46 @@
             attempt: attempt.into(),
             budget_us: u64::from(budget) * 2000,
             payload: payload(query, round),
-            ..bed::work(query, operation)
+            ..harness::work(query, operation)
         };
-        self.model.deliver(&work);
-        self.handle(Event::Work { from: bed::peer("porto-2"), incarnation: 9, work });
+        self.simulation.deliver(&work);
+        self.handle(Event::Work { from: harness::peer("porto-2"), incarnation: 9, work });
     }
 
     fn complete_connection(&mut self, which: u8) {
         let is_pending = |state: &Lane| matches!(state, Lane::Opening | Lane::Control);
         if let Some(connection) = self.pick_connection(which, is_pending) {
-            self.model.set_state(connection, Lane::Idle);
+            self.simulation.set_state(connection, Lane::Idle);
             self.handle(Event::Opened(connection));
         }
     }
 
     fn close_connection(&mut self, which: u8) {
         if let Some(connection) = self.pick_connection(which, |state| *state != Lane::Busy) {
-            self.model.lanes.remove(&connection);
+            self.simulation.lanes.remove(&connection);
             self.handle(Event::Closed(connection));
         }
     }
 
     fn pick_connection(&self, which: u8, predicate: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
-        let lanes = self.model.lanes.iter().filter(|(_, (_, state))| predicate(state));
+        let lanes = self.simulation.lanes.iter().filter(|(_, (_, state))| predicate(state));
         let lanes: Vec<LaneKey> = lanes.map(|(connection, _)| *connection).collect();
         lanes.get(usize::from(which) % lanes.len().max(1)).copied()
     }
 
-    fn end(&mut self, which: u8, end: End) {
-        let calls: Vec<AttemptKey> = self.model.calls.keys().copied().collect();
+    fn end_call(&mut self, which: u8, end: End) {
+        let calls: Vec<AttemptKey> = self.simulation.calls.keys().copied().collect();
         let Some(attempt) = calls.get(usize::from(which) % calls.len().max(1)).copied() else {
             return;
         };
-        let outcome = outcome(&self.model.calls[&attempt], end);
-        let call = self.model.end(attempt, &outcome);
+        let outcome = outcome(&self.simulation.calls[&attempt], end);
+        let call = self.simulation.end_call(attempt, &outcome);
         self.handle(Event::Ended { attempt, outcome });
-        assert!(!self.model.calls.values().any(|other| other.request.id == call.request.id));
+        assert!(!self.simulation.calls.values().any(|other| other.request.id == call.request.id));
     }
 
     fn load(&mut self, which: u8, cold: bool) {
-        let server = &self.model.servers[usize::from(which % 3)];
+        let server = &self.simulation.servers[usize::from(which % 3)];
         let load =
             target::Load { cold, incarnation: server.incarnation, ..target::Load::default() };
         let server = Arc::clone(&server.name);
@@ -164,30 +164,30 @@
     }
 
     fn update(&mut self, which: u8, change: impl Fn(&mut Server)) {
-        change(&mut self.model.servers[usize::from(which % 3)]);
+        change(&mut self.simulation.servers[usize::from(which % 3)]);
         self.publish();
     }
 
     fn pause(&mut self, steps: u8) {
         let pause_length = Duration::from_millis(u64::from(steps) * 4);
-        self.model.pause(pause_length);
+        self.simulation.pause(pause_length);
         self.handle(Event::Paused(pause_length));
     }
 
     fn wait(&mut self, span: Duration) {
-        let end = self.model.now + span;
+        let end = self.simulation.now + span;
         while let Some(at) = self.machine.next_wake().filter(|at| *at <= end) {
-            self.model.now = self.model.now.max(at);
+            self.simulation.now = self.simulation.now.max(at);
             self.handle(Event::Tick);
         }
-        self.model.now = end;
+        self.simulation.now = end;
     }
 }
 
 fn outcome(call: &Call, end: End) -> Outcome {
     let request = &call.request;
-    let refusal = |reason| bed::refusal(request, reason, 3);
-    let answer = bed::answer(request, |_| request.payload.clone());
+    let refusal = |reason| harness::refusal(request, reason, 3);
+    let answer = harness::answer(request, |_| request.payload.clone());
     match end {
         End::Answer => Outcome::Answer(answer),
         End::OtherRequest => {
@@ -215,7 +215,7 @@
             }
             run.wait(Duration::from_secs(61));
             assert_eq!(run.machine.open(), 0);
-            run.model.check_all_replied();
+            run.simulation.check_all_replied();
         });
 }
 
@@ -226,9 +226,9 @@
     let mut run = Run::new();
     for number in 0..200_u8 {
         run.step(Step::Connect(number));
-        run.work(number, number / 16, number, 1, 200);
+        run.deliver_work(number, number / 16, number, 1, 200);
         run.step(Step::End(number, End::Answer));
     }
     run.wait(Duration::from_secs(1));
-    assert!(run.model.replies > 30, "{} replies", run.model.replies);
+    assert!(run.simulation.replies > 30, "{} replies", run.simulation.replies);
 }
--- a/crates/core/tests/leaf/servers.rs
+++ b/crates/core/tests/leaf/servers.rs
@@ -7,7 +7,7 @@
 use ladder_core::schema::{target, wire};
 use ladder_core::view::Server;
 
-use crate::bed::{Bed, Sent, holding, server, service, settings, view, work};
+use crate::harness::{Harness, SentCall, holding, server, service, settings, view, work};
 
 fn load_event(server: &str, load: target::Load) -> Event {
     Event::Load { server: server.into(), load: Some(load) }
@@ -17,31 +17,37 @@
     target::Load { incarnation, ..target::Load::default() }
 }
 
-fn server_state(bed: &Bed, name: &str) -> State {
-    let status = bed.machine.status(bed.now);
+fn server_state(harness: &Harness, name: &str) -> State {
+    let status = harness.machine.status(harness.now);
     let found = status[0].servers.iter().find(|server| &*server.name == name);
     found.expect("a server").state
 }
 
 /// Sends sweeps of 10 ms, three at a time, and answers them, except that calls to `address` end
 /// with `outcome`. Returns the number of calls to `address`.
-fn run_sweeps(bed: &mut Bed, sweeps: u64, address: &str, outcome: fn(&Sent) -> Outcome) -> usize {
+fn run_sweeps(
+    harness: &mut Harness,
+    sweeps: u64,
+    address: &str,
+    outcome: fn(&SentCall) -> Outcome,
+) -> usize {
     let mut calls_to_address = 0;
     for query in 0..sweeps {
         for number in 0..3 {
-            bed.work(work(1000 * bed.now.as_micros() + 3 * query + number, "sweep"));
+            harness
+                .deliver_work(work(1000 * harness.now.as_micros() + 3 * query + number, "sweep"));
         }
-        bed.each_sent(|bed, sent| {
+        harness.end_each_call(|harness, sent| {
             if &*sent.address == address {
                 calls_to_address += 1;
-                bed.end(sent.attempt, outcome(sent));
+                harness.end_call(sent.attempt, outcome(sent));
             } else {
-                bed.advance(10);
-                bed.answer(sent);
+                harness.advance(10);
+                harness.answer(sent);
             }
-            bed.connect();
+            harness.connect();
         });
-        bed.log.clear();
+        harness.log.clear();
     }
     calls_to_address
 }
@@ -59,32 +65,32 @@
 #[test]
 fn server_reported_leaving_by_any_source_gets_no_work() {
     for source in [LeavingSource::View, LeavingSource::Report, LeavingSource::Refusal] {
-        let mut bed = Bed::new();
+        let mut harness = Harness::new();
         match source {
             LeavingSource::View => {
                 let leaving = Server { leaving: true, ..server(1) };
-                bed.handle(view(service(vec![leaving, server(2)])));
+                harness.handle(view(service(vec![leaving, server(2)])));
             }
             LeavingSource::Report => {
                 let leaving = target::Load { leaving: true, ..load_report(1) };
-                bed.handle(load_event("docks-1", leaving));
+                harness.handle(load_event("docks-1", leaving));
             }
             LeavingSource::Refusal => {
-                let refusal = |sent: &Sent| sent.refusal(Reason::TargetLeaving, 0);
-                run_sweeps(&mut bed, 2, "10.0.0.1:80", refusal);
+                let refusal = |sent: &SentCall| sent.refusal(Reason::TargetLeaving, 0);
+                run_sweeps(&mut harness, 2, "10.0.0.1:80", refusal);
             }
         }
-        bed.handle(view(service(vec![server(1), server(2)])));
-        bed.handle(load_event("docks-1", load_report(1)));
-        assert_eq!(server_state(&bed, "docks-1"), State::Leaving, "{source:?}");
-        let open = bed.opened.iter().filter(|(_, address)| &**address == "10.0.0.1:80");
+        harness.handle(view(service(vec![server(1), server(2)])));
+        harness.handle(load_event("docks-1", load_report(1)));
+        assert_eq!(server_state(&harness, "docks-1"), State::Leaving, "{source:?}");
+        let open = harness.opened.iter().filter(|(_, address)| &**address == "10.0.0.1:80");
         assert_eq!(open.count(), 0, "{source:?}");
-        let calls_to_leaving = run_sweeps(&mut bed, 10, "10.0.0.1:80", Sent::answer);
+        let calls_to_leaving = run_sweeps(&mut harness, 10, "10.0.0.1:80", SentCall::answer);
         assert_eq!(calls_to_leaving, 0, "{source:?}");
 
         let restarted = Server { incarnation: 2, ..server(1) };
-        bed.handle(view(service(vec![restarted, server(2)])));
-        assert_eq!(server_state(&bed, "docks-1"), State::Usable, "{source:?}");
+        harness.handle(view(service(vec![restarted, server(2)])));
+        assert_eq!(server_state(&harness, "docks-1"), State::Usable, "{source:?}");
     }
 }
 
@@ -98,9 +104,9 @@
         (vec![unusable(false, 2)], Reason::VersionRetired),
     ];
     for (servers, reason) in cases {
-        let mut bed = Bed::with(settings(), service(servers));
-        bed.work(work(1, "sweep"));
-        assert_eq!(bed.replies(), [(Verdict::NotRun, reason)]);
+        let mut harness = Harness::connected(settings(), service(servers));
+        harness.deliver_work(work(1, "sweep"));
+        assert_eq!(harness.replies(), [(Verdict::NotRun, reason)]);
     }
 }
 
@@ -108,61 +114,61 @@
 /// once that no replica serves the version, so that it can restart the query on the newer one.
 #[test]
 fn version_retired_by_all_servers_refuses_the_portion() {
-    let mut bed = Bed::new();
-    bed.work(work(1, "sweep"));
+    let mut harness = Harness::new();
+    harness.deliver_work(work(1, "sweep"));
     for call in 0..2 {
-        let sent = bed.sent();
+        let sent = harness.sent();
         assert_eq!(sent.len(), call + 1);
-        bed.end(sent[call].attempt, sent[call].refusal(Reason::VersionRetired, 0));
+        harness.end_call(sent[call].attempt, sent[call].refusal(Reason::VersionRetired, 0));
     }
-    assert_eq!(bed.replies(), [(Verdict::NotRun, Reason::VersionRetired)]);
+    assert_eq!(harness.replies(), [(Verdict::NotRun, Reason::VersionRetired)]);
 }
 
 #[test]
 fn version_in_a_load_report_is_used_before_its_publication() {
-    let mut bed = Bed::new();
+    let mut harness = Harness::new();
     let with_version_2 = target::Load { holdings: vec![holding(2)], ..load_report(1) };
-    bed.handle(load_event("docks-2", with_version_2));
-    bed.work(wire::Work { version: 2, ..work(1, "sweep") });
-    assert_eq!(&*bed.sent()[0].address, "10.0.0.2:80");
+    harness.handle(load_event("docks-2", with_version_2));
+    harness.deliver_work(wire::Work { version: 2, ..work(1, "sweep") });
+    assert_eq!(&*harness.sent()[0].address, "10.0.0.2:80");
 }
 
 /// A server immediately answers every call with an error and reports that it is idle. Judged by
 /// call times and load it would be the best choice and attract all work.
 #[test]
 fn server_with_fast_errors_becomes_suspect_and_recovers() {
-    let mut bed = Bed::new();
-    bed.teach(50, 10);
-    let calls = run_sweeps(&mut bed, 100, "10.0.0.1:80", |_| Outcome::Error);
+    let mut harness = Harness::new();
+    harness.learn_call_times(50, 10);
+    let calls = run_sweeps(&mut harness, 100, "10.0.0.1:80", |_| Outcome::Error);
     assert!((3..=25).contains(&calls), "{calls} calls at the failing server");
-    assert_eq!(server_state(&bed, "docks-1"), State::Suspect);
+    assert_eq!(server_state(&harness, "docks-1"), State::Suspect);
 
-    bed.advance(10_000);
-    bed.connect();
-    let calls = run_sweeps(&mut bed, 100, "10.0.0.1:80", Sent::answer);
+    harness.advance(10_000);
+    harness.connect();
+    let calls = run_sweeps(&mut harness, 100, "10.0.0.1:80", SentCall::answer);
     assert!(calls > 50, "{calls} calls at the recovered server");
-    assert_eq!(server_state(&bed, "docks-1"), State::Usable);
+    assert_eq!(server_state(&harness, "docks-1"), State::Usable);
 }
 
 /// One call at a server has failed. While the other server is idle, it is the better choice.
 #[test]
 fn after_one_failure_the_other_idle_server_is_selected() {
-    let mut bed = Bed::new();
-    bed.teach(50, 10);
+    let mut harness = Harness::new();
+    harness.learn_call_times(50, 10);
     for query in 0..20 {
-        let sent = bed.ask(query, "book");
+        let sent = harness.deliver_and_take_call(query, "book");
         if &*sent.address == "10.0.0.1:80" {
-            bed.end(sent.attempt, Outcome::Error);
-            bed.connect();
+            harness.end_call(sent.attempt, Outcome::Error);
+            harness.connect();
             break;
         }
-        bed.answer(&sent);
+        harness.answer(&sent);
     }
     for query in 100..110 {
-        let sent = bed.ask(query, "book");
+        let sent = harness.deliver_and_take_call(query, "book");
         assert_eq!(&*sent.address, "10.0.0.2:80");
-        bed.advance(10);
-        bed.answer(&sent);
+        harness.advance(10);
+        harness.answer(&sent);
     }
 }
 
@@ -170,32 +176,32 @@
 /// suspect, nothing would be sent any more and the recovery would go unnoticed.
 #[test]
 fn at_most_half_of_the_servers_are_suspect() {
-    let mut bed = Bed::with(settings(), service((1..=5).map(server).collect()));
+    let mut harness = Harness::connected(settings(), service((1..=5).map(server).collect()));
     for query in 0..60 {
-        bed.work(work(query, "sweep"));
-        bed.each_sent(|bed, sent| bed.end(sent.attempt, Outcome::Lost));
-        bed.connect();
-        bed.log.clear();
+        harness.deliver_work(work(query, "sweep"));
+        harness.end_each_call(|harness, sent| harness.end_call(sent.attempt, Outcome::Lost));
+        harness.connect();
+        harness.log.clear();
     }
-    let status = bed.machine.status(bed.now);
+    let status = harness.machine.status(harness.now);
     let suspect = |server: &&_| matches!(server, State::Suspect);
     let states: Vec<State> = status[0].servers.iter().map(|server| server.state).collect();
     assert_eq!(states.iter().filter(suspect).count(), 2, "{states:?}");
-    bed.work(work(100, "sweep"));
-    assert_eq!(bed.sent().len(), 1);
+    harness.deliver_work(work(100, "sweep"));
+    assert_eq!(harness.sent().len(), 1);
 }
 
 /// A server sheds and asks for a retry delay. Calling it before the delay has passed would add to
 /// its overload.
 #[test]
 fn shedding_server_gets_no_calls_during_its_retry_delay() {
-    let mut bed = Bed::new();
-    let shed = |sent: &Sent| sent.refusal(Reason::TargetShed, 300);
-    let calls = run_sweeps(&mut bed, 8, "10.0.0.1:80", shed);
+    let mut harness = Harness::new();
+    let shed = |sent: &SentCall| sent.refusal(Reason::TargetShed, 300);
+    let calls = run_sweeps(&mut harness, 8, "10.0.0.1:80", shed);
     assert!(calls <= 2, "{calls} calls at the shedding server");
-    assert_eq!(server_state(&bed, "docks-1"), State::Shedding);
-    bed.advance(400);
-    assert!(run_sweeps(&mut bed, 20, "10.0.0.1:80", Sent::answer) > 0);
+    assert_eq!(server_state(&harness, "docks-1"), State::Shedding);
+    harness.advance(400);
+    assert!(run_sweeps(&mut harness, 20, "10.0.0.1:80", SentCall::answer) > 0);
 }
 
 /// One server sheds all its calls without a retry delay, and both slots of the other server are
@@ -203,79 +209,79 @@
 /// use up its attempts at the shedding server.
 #[test]
 fn shed_work_waits_for_the_busy_replica() {
-    let mut bed = Bed::new();
-    bed.sweeps(1..=4);
+    let mut harness = Harness::new();
+    harness.deliver_sweeps(1..=4);
     let mut seen = 0;
     for step in 0..40 {
-        for sent in bed.sent().split_off(seen) {
+        for sent in harness.sent().split_off(seen) {
             let shedding = &*sent.address == "10.0.0.1:80";
             seen += 1;
             if shedding {
-                bed.end(sent.attempt, sent.refusal(Reason::TargetShed, 0));
+                harness.end_call(sent.attempt, sent.refusal(Reason::TargetShed, 0));
             }
         }
-        bed.advance(10);
+        harness.advance(10);
         if step == 30 {
-            let busy: Vec<Sent> = bed.sent();
+            let busy: Vec<SentCall> = harness.sent();
             let busy = busy.iter().filter(|sent| &*sent.address == "10.0.0.2:80");
-            busy.for_each(|sent| bed.answer(sent));
+            busy.for_each(|sent| harness.answer(sent));
         }
     }
     let shed = (Verdict::NotRun, Reason::TargetShed);
-    assert!(!bed.replies().contains(&shed), "{:?}", bed.replies());
+    assert!(!harness.replies().contains(&shed), "{:?}", harness.replies());
 }
 
 #[test]
 fn shedding_beyond_the_deadline_refuses_with_retry_delay() {
-    let mut bed = Bed::new();
-    bed.work(work(1, "sweep"));
+    let mut harness = Harness::new();
+    harness.deliver_work(work(1, "sweep"));
     for call in 0..2 {
-        let sent = bed.sent();
-        bed.end(sent[call].attempt, sent[call].refusal(Reason::TargetShed, 1500));
+        let sent = harness.sent();
+        harness.end_call(sent[call].attempt, sent[call].refusal(Reason::TargetShed, 1500));
     }
-    assert_eq!(bed.replies(), [(Verdict::NotRun, Reason::TargetShed)]);
-    assert!(bed.retry_after() >= 1500);
+    assert_eq!(harness.replies(), [(Verdict::NotRun, Reason::TargetShed)]);
+    assert!(harness.last_retry_after_ms() >= 1500);
 }
 
 /// A server has just started and is slow. It must get half its slots and no hedged calls, which are
 /// meant to save time.
 #[test]
 fn cold_server_gets_half_its_slots_and_no_hedged_calls() {
-    let mut bed = Bed::new();
-    bed.teach(200, 10);
+    let mut harness = Harness::new();
+    harness.learn_call_times(200, 10);
     let cold = target::Load { cold: true, ..load_report(1) };
-    bed.handle(load_event("docks-1", cold));
-    assert_eq!(server_state(&bed, "docks-1"), State::Cold);
-    bed.sweeps(0..6);
-    let calls_to_cold = |bed: &Bed| {
-        let sent = bed.sent();
+    harness.handle(load_event("docks-1", cold));
+    assert_eq!(server_state(&harness, "docks-1"), State::Cold);
+    harness.deliver_sweeps(0..6);
+    let calls_to_cold = |harness: &Harness| {
+        let sent = harness.sent();
         sent.iter().filter(|sent| &*sent.address == "10.0.0.1:80").count()
     };
-    assert_eq!((bed.sent().len(), calls_to_cold(&bed)), (3, 1));
-    for sent in bed.sent() {
+    assert_eq!((harness.sent().len(), calls_to_cold(&harness)), (3, 1));
+    for sent in harness.sent() {
         if &*sent.address == "10.0.0.1:80" {
-            bed.answer(&sent);
+            harness.answer(&sent);
         }
     }
-    bed.advance(50);
-    assert!(calls_to_cold(&bed) <= 2, "no hedged call at the cold server");
+    harness.advance(50);
+    assert!(calls_to_cold(&harness) <= 2, "no hedged call at the cold server");
 }
 
 /// Connections to all servers fail. Work must be refused with that reason instead of waiting until
 /// its deadline.
 #[test]
 fn work_for_unreachable_servers_is_refused_at_once() {
-    let mut bed = Bed::cold(settings(), service(vec![server(1)]));
-    bed.work(work(1, "sweep"));
+    let mut harness = Harness::unconnected(settings(), service(vec![server(1)]));
+    harness.deliver_work(work(1, "sweep"));
     for _ in 0..20 {
-        bed.close_all();
-        if !bed.replies().is_empty() {
+        harness.close_all_connections();
+        if !harness.replies().is_empty() {
             break;
         }
-        bed.advance(50);
+        harness.advance(50);
     }
-    assert_eq!(bed.replies(), [(Verdict::NotRun, Reason::ConnectFailed)]);
-    assert_eq!(server_state(&bed, "docks-1"), State::Unreachable);
+    assert_eq!(harness.replies(), [(Verdict::NotRun, Reason::ConnectFailed)]);
+    assert_eq!(server_state(&harness, "docks-1"), State::Unreachable);
 }
 
 /// A server does not reply to a load report request. Further requests would occupy one connection
@@ -283,15 +289,15 @@
 #[test]
 fn load_reports_are_requested_once_a_second_and_one_at_a_time() {
     for (answers, expected) in [(true, 18..=22), (false, 2..=2)] {
-        let mut bed = Bed::new();
+        let mut harness = Harness::new();
         let mut probes = 0;
         for _ in 0..100 {
-            bed.log.clear();
-            bed.advance(100);
-            let probed = bed.probed();
+            harness.log.clear();
+            harness.advance(100);
+            let probed = harness.probed_connections();
             probes += probed.len();
             for lane in probed.into_iter().filter(|_| answers) {
-                bed.handle(Event::Opened(lane));
+                harness.handle(Event::Opened(lane));
             }
         }
         assert!(expected.contains(&probes), "{probes} load report requests");
--- a/crates/core/tests/leaf/session.rs
+++ b/crates/core/tests/leaf/session.rs
@@ -8,24 +8,24 @@
 use ladder_core::schema::outcome::Reason;
 use ladder_core::schema::{target, wire};
 
-use crate::bed::{Bed, Sent, server, service, settings, work};
+use crate::harness::{Harness, SentCall, server, service, settings, work};
 
 /// Writes the machine's actions as text; connections are numbered in order of opening.
 struct SessionLog {
-    bed: Bed,
+    harness: Harness,
     text: String,
     connections: Vec<LaneKey>,
 }
 
 impl SessionLog {
     fn record(&mut self, label: &str) {
-        let _ = writeln!(self.text, "{:>7} {label}", self.bed.now.as_micros() / 1000);
-        let actions: Vec<Action> = self.bed.log.drain(..).collect();
+        let _ = writeln!(self.text, "{:>7} {label}", self.harness.now.as_micros() / 1000);
+        let actions: Vec<Action> = self.harness.log.drain(..).collect();
         for action in &actions {
             let line = self.line(action);
             let _ = writeln!(self.text, "          {line}");
         }
-        self.bed.log = actions;
+        self.harness.log = actions;
     }
 
     fn line(&mut self, action: &Action) -> String {
@@ -88,26 +88,32 @@
     }
 
     /// Advances the clock, delivers an event and returns the calls sent because of the event.
-    fn step(&mut self, millis: u64, label: &str, event: Event) -> Vec<Sent> {
-        self.bed.log.clear();
-        self.bed.advance(millis);
-        if !self.bed.log.is_empty() {
+    fn step(&mut self, millis: u64, label: &str, event: Event) -> Vec<SentCall> {
+        self.harness.log.clear();
+        self.harness.advance(millis);
+        if !self.harness.log.is_empty() {
             self.record("time passes");
         }
-        self.bed.log.clear();
-        self.bed.handle(event);
+        self.harness.log.clear();
+        self.harness.handle(event);
         self.record(label);
-        self.bed.sent()
+        self.harness.sent()
     }
 
-    fn end(&mut self, millis: u64, label: &str, sent: &Sent, outcome: Outcome) -> Vec<Sent> {
+    fn end_call(
+        &mut self,
+        millis: u64,
+        label: &str,
+        sent: &SentCall,
+        outcome: Outcome,
+    ) -> Vec<SentCall> {
         let attempt = sent.attempt;
         self.step(millis, label, Event::Ended { attempt, outcome })
     }
 
-    fn work(&mut self, query: u64, operation: &str) -> Vec<Sent> {
+    fn deliver_work(&mut self, query: u64, operation: &str) -> Vec<SentCall> {
         let event = Event::Work {
-            from: crate::bed::peer("porto-2"),
+            from: crate::harness::peer("porto-2"),
             incarnation: 9,
             work: work(query, operation),
         };
@@ -122,44 +128,44 @@
 #[test]
 fn session_with_hedged_sweep_lost_booking_and_drain() {
     let mut session = SessionLog {
-        bed: Bed::cold(settings(), service(vec![server(1), server(2)])),
+        harness: Harness::unconnected(settings(), service(vec![server(1), server(2)])),
         text: String::new(),
         connections: Vec::new(),
     };
     session.record("view");
-    session.bed.connect();
-    session.bed.teach(100, 10);
-    session.bed.now = session.bed.now + Duration::from_millis(1);
+    session.harness.connect();
+    session.harness.learn_call_times(100, 10);
+    session.harness.now = session.harness.now + Duration::from_millis(1);
     hedged_sweep(&mut session);
     lost_booking(&mut session);
-    let last = session.work(3, "sweep");
+    let last = session.deliver_work(3, "sweep");
     session.step(1, "drain", Event::Drain);
-    session.work(4, "sweep");
-    session.end(9, "answer", &last[0], last[0].answer());
-    assert_eq!(session.bed.machine.open(), 0);
+    session.deliver_work(4, "sweep");
+    session.end_call(9, "answer", &last[0], last[0].answer());
+    assert_eq!(session.harness.machine.open(), 0);
     insta::assert_snapshot!(session.text);
 }
 
 fn hedged_sweep(session: &mut SessionLog) {
-    let first = session.work(1, "sweep");
-    session.bed.log.clear();
-    session.bed.advance(12);
+    let first = session.deliver_work(1, "sweep");
+    session.harness.log.clear();
+    session.harness.advance(12);
     session.record("the call is slow");
-    let hedged = session.bed.sent();
-    session.end(8, "the hedged call is answered", &hedged[0], hedged[0].answer());
+    let hedged = session.harness.sent();
+    session.end_call(8, "the hedged call is answered", &hedged[0], hedged[0].answer());
     let refused = first[0].refusal(Reason::Cancelled, 0);
-    session.end(1, "the first call is cancelled", &first[0], refused);
+    session.end_call(1, "the first call is cancelled", &first[0], refused);
 }
 
 fn lost_booking(session: &mut SessionLog) {
-    let first = session.work(2, "book");
+    let first = session.deliver_work(2, "book");
     let shed_refusal = first[0].refusal(Reason::TargetShed, 50);
-    let second = session.end(1, "the server sheds", &first[0], shed_refusal);
-    session.end(5, "the connection breaks", &second[0], Outcome::Lost);
+    let second = session.end_call(1, "the server sheds", &first[0], shed_refusal);
+    session.end_call(5, "the connection breaks", &second[0], Outcome::Lost);
     let mut second_attempt = work(20, "book");
     second_attempt.key = "key-2".into();
     second_attempt.attempt = 2;
     let event =
-        Event::Work { from: crate::bed::peer("porto-3"), incarnation: 4, work: second_attempt };
+        Event::Work { from: crate::harness::peer("porto-3"), incarnation: 4, work: second_attempt };
     session.step(5, "the caller retries through another entry instance", event);
 }
--- a/crates/core/tests/leaf/siblings.rs
+++ b/crates/core/tests/leaf/siblings.rs
@@ -15,7 +15,7 @@
 use ladder_core::schema::{target, wire};
 use ladder_core::view::{Service, View};
 
-use crate::bed::{Bed, Sent, limited, server, work};
+use crate::harness::{Harness, SentCall, limited, server, work};
 
 /// Number of services of a sweep.
 const PARTS: usize = 9;
@@ -27,9 +27,9 @@
 }
 
 /// A harness with two servers for each part.
-fn harness() -> Bed {
+fn harness() -> Harness {
     let settings = Settings::builder("porto-1", 7).seed(1).build();
-    let mut harness = Bed::cold(settings, limited(Limits::default(), Vec::new()));
+    let mut harness = Harness::unconnected(settings, limited(Limits::default(), Vec::new()));
     let mut view = View { generation: 2, ready: true, ..View::default() };
     for part in 0..PARTS {
         let replica = |number: u8| {
@@ -64,7 +64,7 @@
     wire::Work { forward: Some(Box::new(forward)), portions, ..work(query, "sweep") }
 }
 
-fn answer(harness: &mut Bed, sent: &Sent) {
+fn answer(harness: &mut Harness, sent: &SentCall) {
     let response = Response {
         status: 200,
         body: Bytes::from_static(b"0123456789abcdef"),
@@ -79,23 +79,23 @@
         parts: vec![Part { shard, response: Some(response), ..Part::default() }],
         occupancy: None,
     };
-    harness.end(sent.attempt, Outcome::Answer(answer));
+    harness.end_call(sent.attempt, Outcome::Answer(answer));
 }
 
 /// A harness that has learned the usual call times.
-fn learned_harness() -> Bed {
+fn learned_harness() -> Harness {
     let mut harness = harness();
     for query in 0..40 {
         harness.log.clear();
-        harness.work(sweep(query));
+        harness.deliver_work(sweep(query));
         harness.advance(USUAL_TIMES_MS[query as usize % USUAL_TIMES_MS.len()]);
-        harness.each_sent(answer);
+        harness.end_each_call(answer);
     }
     harness.log.clear();
     harness
 }
 
-fn hedges(harness: &Bed) -> usize {
+fn hedges(harness: &Harness) -> usize {
     harness.counted(count::Event::Hedge, Reason::Hedge)
 }
 
@@ -124,7 +124,7 @@
     ];
     for Case { name, takes_ms, stalled, hedges: expected } in cases {
         let mut harness = learned_harness();
-        harness.work(sweep(1000));
+        harness.deliver_work(sweep(1000));
         let calls = harness.sent();
         assert_eq!(calls.len(), PARTS, "{name}");
         harness.advance(takes_ms);
@@ -140,7 +140,7 @@
 #[test]
 fn straggler_of_a_light_request_is_hedged_early() {
     let mut harness = learned_harness();
-    harness.work(sweep(1000));
+    harness.deliver_work(sweep(1000));
     let calls = harness.sent();
     harness.advance(4);
     calls[1..].iter().for_each(|sent| answer(&mut harness, sent));
@@ -152,7 +152,7 @@
 #[test]
 fn no_part_is_hedged_before_one_is_answered() {
     let mut harness = learned_harness();
-    harness.work(sweep(1000));
+    harness.deliver_work(sweep(1000));
     let calls = harness.sent();
     harness.advance(100);
     assert_eq!(hedges(&harness), 0);
@@ -166,7 +166,7 @@
 #[test]
 fn stalled_parts_are_hedged_when_most_servers_stall() {
     let mut harness = learned_harness();
-    harness.work(sweep(1000));
+    harness.deliver_work(sweep(1000));
     let calls = harness.sent();
     harness.advance(10);
     calls[6..].iter().for_each(|sent| answer(&mut harness, sent));
--- a/crates/core/tests/leaf/world.rs
+++ b/crates/core/tests/leaf/simulation.rs
@@ -1,5 +1,5 @@
-//! Reference model of the machine's environment for the property test: calls, connections, request
-//! keys and deadlines while any events arrive.
+//! Reference simulation of the machine's environment for the property test: calls, connections,
+//! request keys and deadlines while any events arrive.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use ladder_core::time::Instant;
 use ladder_core::view::Server;
 
-/// State of a connection in the model.
+/// State of a connection in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Lane {
     Opening,
@@ -21,7 +21,7 @@
     Control,
 }
 
-/// An open call in the model.
+/// An open call in the simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) lane: LaneKey,
@@ -29,7 +29,7 @@
     pub(crate) request: target::Request,
 }
 
-/// One delivery of a portion in the model.
+/// One delivery of a portion in the simulation.
 #[derive(Clone, Debug)]
 struct Delivery {
     end: Instant,
@@ -40,10 +40,10 @@
     may_have_run: u32,
 }
 
-/// Reference model of the machine's environment. Each action of the machine is checked against the
-/// model.
+/// Reference simulation of the machine's environment. Each action of the machine is checked against
+/// the simulation.
 #[derive(Debug, Default)]
-pub(crate) struct Model {
+pub(crate) struct Simulation {
     pub(crate) now: Instant,
     pub(crate) lanes: BTreeMap<LaneKey, (Arc<str>, Lane)>,
     pub(crate) calls: BTreeMap<AttemptKey, Call>,
@@ -55,8 +55,8 @@
     pub(crate) replies: usize,
 }
 
-impl Model {
-    /// Creates a model with these servers and without connections or calls.
+impl Simulation {
+    /// Creates a simulation with these servers and without connections or calls.
     pub(crate) fn new(now: Instant, servers: Vec<Server>) -> Self {
         Self { now, servers, ..Self::default() }
     }
@@ -82,7 +82,7 @@
     }
 
     /// Records the end of a call that is about to be reported to the machine.
-    pub(crate) fn end(&mut self, attempt: AttemptKey, outcome: &Outcome) -> Call {
+    pub(crate) fn end_call(&mut self, attempt: AttemptKey, outcome: &Outcome) -> Call {
         let call = self.calls.remove(&attempt).expect("an open call ends");
         match outcome {
             Outcome::Answer(_) | Outcome::Refusal(_) => self.set_state(call.lane, Lane::Idle),
--- a/crates/core/tests/leaf/warmup.rs
+++ b/crates/core/tests/leaf/warmup.rs
@@ -12,8 +12,8 @@
 use ladder_core::time::Instant;
 use ladder_core::view::{Candidate, Neighbour, Server, Service, View};
 
-use crate::bed::{Bed, limited, peer, server, settings, work};
-use crate::open::{End, Open};
+use crate::harness::{Harness, limited, peer, server, settings, work};
+use crate::open_calls::{End, OpenCalls};
 
 const LIMIT: WarmupLimit = WarmupLimit { rate: 12, max: 23 };
 
@@ -71,7 +71,8 @@
                     || (1..count - missing).map(|step| &fleet[(at + missing + step) % count]);
                 let warm = Setup { warmup: [0, 0], ..COLD };
                 let settings = Settings::builder(own, 7).seed(1).build();
-                let mut harness = Bed::cold(settings, limited(Limits::default(), vec![]));
+                let mut harness =
+                    Harness::unconnected(settings, limited(Limits::default(), vec![]));
                 harness.handle(warm.view_among(others().cloned()));
                 harness.connect();
                 harness.advance(4000);
@@ -94,7 +95,7 @@
 #[test]
 fn quota_shrinks_as_other_instances_become_known() {
     let long = Setup { warmup: [30_000, 0], others: 0, ..COLD };
-    let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
+    let mut harness = Harness::unconnected(settings(), limited(Limits::default(), vec![]));
     let (Event::View(alone), Event::View(joined)) =
         (long.view(), Setup { others: 2, ..long }.view())
     else {
@@ -161,8 +162,8 @@
 
     /// A harness that knows the other instances and has seen both servers warm, and then gets this
     /// state.
-    fn harness(self) -> Bed {
-        let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
+    fn harness(self) -> Harness {
+        let mut harness = Harness::unconnected(settings(), limited(Limits::default(), vec![]));
         harness.handle(Setup { warmup: [0, 0], evacuated: false, ..self }.view());
         harness.connect();
         harness.advance(4000);
@@ -174,12 +175,12 @@
 
 /// Sends more work than the servers may take and returns the send times of the requests to each
 /// server, by address.
-fn send_overload(harness: &mut Bed, millis: u64) -> Map<String, Vec<Instant>> {
+fn send_overload(harness: &mut Harness, millis: u64) -> Map<String, Vec<Instant>> {
     let mut sent: Map<String, Vec<Instant>> = Map::default();
     for step in 0..millis / 10 {
         harness.log.clear();
-        harness.work(work(1_000_000 * harness.now.as_micros() + step, "sweep"));
-        harness.each_sent(|harness, call| {
+        harness.deliver_work(work(1_000_000 * harness.now.as_micros() + step, "sweep"));
+        harness.end_each_call(|harness, call| {
             sent.entry(call.address.to_string()).or_default().push(harness.now);
             harness.answer(call);
         });
@@ -246,7 +247,7 @@
 /// Guards against an instance that has just started and assumes that it is the only one.
 #[test]
 fn starting_instance_sends_nothing_to_cold_servers() {
-    let mut harness = Bed::cold(settings(), limited(Limits::default(), vec![]));
+    let mut harness = Harness::unconnected(settings(), limited(Limits::default(), vec![]));
     harness.handle(Setup { others: 0, ..COLD }.view());
     harness.connect();
     let sent = send_overload(&mut harness, 2900);
@@ -275,8 +276,8 @@
     let mut refused = 0;
     for query in 0..30 {
         harness.log.clear();
-        harness.work(work(query, "sweep"));
-        harness.each_sent(Bed::answer);
+        harness.deliver_work(work(query, "sweep"));
+        harness.end_each_call(Harness::answer);
         refused += harness
             .replies()
             .iter()
@@ -284,7 +285,7 @@
             .count();
     }
     assert_eq!(refused, 30 - 10, "five for each of two servers");
-    assert!(harness.retry_after() > 0);
+    assert!(harness.last_retry_after_ms() > 0);
 }
 
 /// Event during the warm-up of a server.
@@ -310,15 +311,15 @@
         .for_each(|steps| {
             let mut setup = Setup { warmup: [0, 0], ..COLD };
             let mut harness = setup.harness();
-            let (mut sent, mut open) = (Vec::new(), Open::default());
+            let (mut sent, mut open) = (Vec::new(), OpenCalls::default());
             // End of the time in which the first server is cold according to all events so far.
             let mut cold_until = harness.now;
             for (number, step) in (1_u64..).zip(steps) {
-                open.note(&harness);
+                open.record_connections(&harness);
                 harness.log.clear();
                 match *step {
                     Step::Work(count) => (0..u64::from(count % 16))
-                        .for_each(|at| harness.work(work(1000 * number + at, "sweep"))),
+                        .for_each(|at| harness.deliver_work(work(1000 * number + at, "sweep"))),
                     Step::Wait(tens) => harness.advance(u64::from(tens) * 4),
                     Step::Connect => harness.connect(),
                     Step::Cold(cold) => {
@@ -329,9 +330,9 @@
                         setup.evacuated = evacuated;
                         harness.handle(setup.view());
                     }
-                    Step::End(at, end) => open.end(&mut harness, at, end),
+                    Step::End(at, end) => open.end_call(&mut harness, at, end),
                 }
-                let taken = open.take(&harness);
+                let taken = open.add_sent_calls(&harness);
                 let cold = taken.iter().filter(|address| &***address == "10.0.0.1:80");
                 sent.extend(cold.filter(|_| harness.now < cold_until).map(|_| harness.now));
                 match *step {
