--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -6,7 +6,7 @@
 use ladder_schema::target;
 
 use super::event::LaneKey;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::portion::{Job, PortionKey};
 use super::record;
 use super::server::ServerKey;
@@ -22,7 +22,7 @@
     pub(super) portion: Option<PortionKey>,
     pub(super) service: ServiceId,
     /// Kind of work of the call, for call time estimates.
-    pub(super) kind: Kind,
+    pub(super) kind: WorkKind,
     pub(super) server: ServerKey,
     pub(super) lane: LaneKey,
     /// Identifier of the target request.
@@ -32,11 +32,11 @@
     pub(super) sent: Instant,
     pub(super) timeout: Duration,
     /// Record of the request key; `Some` for non-idempotent requests only.
-    pub(super) record: Option<record::Name>,
+    pub(super) record: Option<record::Key>,
     /// Whether the answer is no longer needed because the portion already has a reply; never set
     /// for non-idempotent calls. An error or loss of such a call is not counted as a failure, and
     /// its call time is not learned.
-    pub(super) given_up: bool,
+    pub(super) abandoned: bool,
 }
 
 /// Difference between an answer and its request.
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -11,7 +11,7 @@
 use super::attempt::Attempt;
 use super::event::{Action, LaneKey};
 use super::intake::DEFAULT_CALL_TIME;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::lane;
 use super::machine::Machine;
 use super::portion::PortionKey;
@@ -41,10 +41,10 @@
 
 impl Machine {
     /// Dispatches queued portions of all services that changed during the current event.
-    pub(super) fn pump_marked(&mut self, out: &mut Vec<Action>) {
-        while let Some(id) = self.marked.pop() {
+    pub(super) fn dispatch_changed(&mut self, out: &mut Vec<Action>) {
+        while let Some(id) = self.changed_services.pop() {
             if let Some(service) = self.services.get_mut(id) {
-                service.marked = false;
+                service.is_changed = false;
                 self.dispatch_service(id, out);
             }
         }
@@ -72,8 +72,9 @@
         let head: Vec<PortionKey> = order.take(DISPATCH_SCAN_LIMIT).collect();
         for key in head {
             if self.too_late(key) {
-                let refused = Refused::with(self.current_verdict(key), Reason::WouldMissDeadline);
-                self.finish(key, refused, out);
+                let refused =
+                    Refused::with_verdict(self.current_verdict(key), Reason::WouldMissDeadline);
+                self.refuse_portion(key, refused, out);
                 return true;
             }
             if self.misses_objective(key) {
@@ -120,7 +121,7 @@
         if !self.settings.by_need || service.queue.is_empty() {
             return slots;
         }
-        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
+        let mean = service.call_times.all().mean().unwrap_or(DEFAULT_CALL_TIME);
         slots + u32::from(self.oldest_call_age(server) < mean)
     }
 
@@ -148,7 +149,7 @@
     fn misses_objective(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
         let fast_call = self.fast_call_time(portion.service, portion.kind);
-        let timely = portion.place.is_some_and(|place| !place.is_late());
+        let timely = portion.queue_position.is_some_and(|position| !position.is_late());
         timely && portion.timely_at.is_some_and(|at| self.now + fast_call >= at)
     }
 
@@ -156,10 +157,10 @@
     fn move_to_late_class(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
         let queue = &mut self.services[portion.service].queue;
-        if let Some(place) = portion.place.take() {
-            queue.remove(place);
+        if let Some(position) = portion.queue_position.take() {
+            queue.remove(position);
         }
-        portion.place = Some(queue.push(Class::LATE, portion.arrived, key));
+        portion.queue_position = Some(queue.push(Class::LATE, portion.arrived, key));
     }
 
     /// Selects the server for the next call of a portion, with the configured strategy.
@@ -206,13 +207,15 @@
             }
             let server = &self.servers[candidate];
             if suspects.contains(&candidate) {
-                let trial_allowed = !portion.unrepeatable && !portion.tried.contains(&candidate);
+                let trial_allowed =
+                    !portion.unrepeatable && !portion.tried_servers.contains(&candidate);
                 if trial_allowed && self.ready_for_trial(server) {
                     return Some(candidate);
                 }
                 continue;
             }
-            let cost = self.cost(id, portion.kind, server, portion.tried.contains(&candidate));
+            let cost =
+                self.cost(id, portion.kind, server, portion.tried_servers.contains(&candidate));
             if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, candidate));
             }
@@ -238,20 +241,20 @@
     /// portions still try the shedding server.
     fn already_shed(&self, key: PortionKey, candidate: ServerKey) -> bool {
         let portion = &self.portions[key];
-        let sheds = |server: ServerKey| {
-            self.servers[server].health.sheds() && portion.tried.contains(&server)
+        let has_shed = |server: ServerKey| {
+            self.servers[server].health.has_shed() && portion.tried_servers.contains(&server)
         };
         let takes = |key: &ServerKey| {
             let server = &self.servers[*key];
             let reachable =
                 server.in_flight > 0 || server.open_failures < UNREACHABLE_OPEN_FAILURES;
-            let usable = server.accepts() && reachable && !server.health.suspect();
+            let usable = server.accepts_work() && reachable && !server.health.suspect();
             let in_time = server.health.shed_until() < portion.deadline;
             let serves_version = self.serves_version(*key, &portion.job.work);
-            usable && in_time && serves_version && !sheds(*key)
+            usable && in_time && serves_version && !has_shed(*key)
         };
         let takes = |server: &ServerKey| takes(server) && self.is_eligible_for(key, *server);
-        sheds(candidate) && self.services[portion.service].servers.iter().any(takes)
+        has_shed(candidate) && self.services[portion.service].servers.iter().any(takes)
     }
 
     /// Whether a portion may run on a server, according to the servers that its entry instance
@@ -270,7 +273,8 @@
     pub(super) fn serves_version(&self, key: ServerKey, work: &wire::Work) -> bool {
         // A routing version determines the services of a forwarded message; their servers answer
         // requests under every routing version.
-        work.forward.is_some() || self.servers[key].holds(self.now, &work.index, work.version)
+        work.forward.is_some()
+            || self.servers[key].serves_version(self.now, &work.index, work.version)
     }
 
     /// Whether a suspected server may get a trial call: its pause has ended and it has no call in
@@ -281,7 +285,7 @@
 
     /// Cost of sending a call to a server: the expected call time in seconds, multiplied by factors
     /// for load, failures, an earlier failed attempt and another zone.
-    fn cost(&self, id: ServiceId, kind: Kind, server: &Server, tried: bool) -> f64 {
+    fn cost(&self, id: ServiceId, kind: WorkKind, server: &Server, tried: bool) -> f64 {
         let expected_call_time = self.expected_call_time(id, kind, server).as_secs_f64();
         let load = f64::from(server.in_flight) / f64::from(server.capacity(self.now));
         let health = &server.health;
@@ -294,10 +298,10 @@
     }
 
     /// Expected call time at a server, without the calls that already wait there.
-    fn expected_call_time(&self, id: ServiceId, kind: Kind, server: &Server) -> Duration {
-        let mean = self.mean(id, kind).unwrap_or(DEFAULT_CALL_TIME);
-        let pace = server.health.pace(self.now).unwrap_or(1.0).max(0.5);
-        mean.mul_f64(pace).max(self.oldest_call_age(server))
+    fn expected_call_time(&self, id: ServiceId, kind: WorkKind, server: &Server) -> Duration {
+        let mean = self.mean_call_time(id, kind).unwrap_or(DEFAULT_CALL_TIME);
+        let relative = server.health.relative_call_time(self.now).unwrap_or(1.0).max(0.5);
+        mean.mul_f64(relative).max(self.oldest_call_age(server))
     }
 
     /// Age of the oldest unanswered call at a server, a lower bound of its current call time.
@@ -323,7 +327,7 @@
         if !all.any(|key| self.servers[*key].health.suspect()) {
             return Vec::new();
         }
-        let accepting = |key: &&ServerKey| self.servers[**key].accepts();
+        let accepting = |key: &&ServerKey| self.servers[**key].accepts_work();
         let servers: Vec<ServerKey> =
             self.services[id].servers.iter().filter(accepting).copied().collect();
         let rate = |key: &ServerKey| self.servers[*key].health.failure_rate(self.now);
@@ -339,10 +343,10 @@
         let portion = &mut self.portions[key];
         let first = portion.calls == 0;
         let id = portion.service;
-        let place = portion.place.take();
+        let position = portion.queue_position.take();
         let service = &mut self.services[id];
-        if let Some(place) = place {
-            service.queue.dispatch(place);
+        if let Some(position) = position {
+            service.queue.dispatch(position);
         }
         if first {
             if !portion.repeated {
@@ -375,7 +379,7 @@
             sent: self.now,
             timeout,
             record: portion.unrepeatable.then(|| portion.record()),
-            given_up: false,
+            abandoned: false,
         };
         self.call_began(&call);
         self.record_warmup_request(to);
@@ -384,7 +388,7 @@
         let portion = &mut self.portions[key];
         portion.trials.push(trial);
         portion.attempts.push(attempt);
-        portion.tried.push(to);
+        portion.tried_servers.push(to);
         portion.calls += 1;
         self.services[portion.service].in_flight += 1;
         self.servers[to].in_flight += 1;
@@ -399,9 +403,9 @@
 
     /// Schedules a dispatch of the service for the time at which a pause of one of its servers
     /// ends.
-    pub(super) fn pump_at(&mut self, id: ServiceId, at: Instant) {
+    pub(super) fn schedule_dispatch(&mut self, id: ServiceId, at: Instant) {
         if at > self.now {
-            self.timers.push(at, Timer::Pump(id));
+            self.timers.push(at, Timer::Dispatch(id));
         }
     }
 }
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -57,7 +57,12 @@
 impl Machine {
     /// Handles the end of a call with its outcome: releases its slot, updates statistics and
     /// decides on its portion.
-    pub(super) fn ended(&mut self, key: AttemptKey, outcome: Outcome, out: &mut Vec<Action>) {
+    pub(super) fn handle_call_end(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
@@ -84,7 +89,7 @@
             Some(portion) => self.resolve_portion(portion, key, attempt, outcome, out),
             None => self.settle_record(attempt, &outcome, out),
         }
-        self.mark(attempt.service);
+        self.mark_changed(attempt.service);
     }
 
     /// Ends a call as lost, because this instance closed its connection.
@@ -160,14 +165,14 @@
         let elapsed = self.now.since(attempt.sent);
         match outcome {
             Outcome::Answer(answer) => {
-                let usual = self.mean(attempt.service, attempt.kind);
+                let usual = self.mean_call_time(attempt.service, attempt.kind);
                 if let Some(occupancy) = answer.occupancy {
                     self.services[attempt.service].occupied(occupancy);
                 }
                 let server = &mut self.servers[attempt.server];
                 server.health.answered(self.now, elapsed, usual);
-                if !attempt.given_up {
-                    self.learn_time(attempt.service, attempt.kind, elapsed);
+                if !attempt.abandoned {
+                    self.record_call_time(attempt.service, attempt.kind, elapsed);
                 }
             }
             Outcome::Refusal(refusal) => {
@@ -175,11 +180,11 @@
                 let advice = Duration::from_millis(refusal.retry_after_ms.into());
                 self.record_refusal(attempt, reason, advice, out);
             }
-            Outcome::Error | Outcome::Lost if !attempt.given_up => {
+            Outcome::Error | Outcome::Lost if !attempt.abandoned => {
                 let server = &mut self.servers[attempt.server];
                 server.health.failed(self.now, &mut self.random);
                 let until = server.health.paused_until();
-                self.pump_at(attempt.service, until);
+                self.schedule_dispatch(attempt.service, until);
             }
             Outcome::Error | Outcome::Lost | Outcome::Unsent => {}
         }
@@ -198,18 +203,18 @@
         match reason {
             Reason::TargetLeaving => {
                 let incarnation = server.incarnation;
-                server.leave(incarnation);
+                server.mark_leaving(incarnation);
                 self.maintain_server(attempt.server, out);
-                self.recheck(attempt.service, out);
+                self.refuse_unservable(attempt.service, out);
             }
             Reason::VersionRetired => {
                 let work = &attempt.job.work;
                 server.retire(self.now, &work.index, work.version);
-                self.recheck(attempt.service, out);
+                self.refuse_unservable(attempt.service, out);
             }
             Reason::TargetShed => {
                 let until = server.health.shed(self.now, advice, &mut self.random);
-                self.pump_at(attempt.service, until);
+                self.schedule_dispatch(attempt.service, until);
             }
             _ => {}
         }
@@ -235,21 +240,21 @@
         }
         portion.attempts.retain(|other| *other != ended);
         let service = &mut self.services[attempt.service];
-        service.overdue.remove(&(attempt.sent, key));
+        service.due_hedges.remove(&(attempt.sent, key));
         if let Outcome::Answer(answer) = outcome {
             self.sibling_answered(&attempt.job, took);
             self.answer(key, answer.parts, out);
             return;
         }
         portion.failures += 1;
-        portion.spared += u32::from(verdict == Verdict::NotRun);
+        portion.proved_not_run += u32::from(verdict == Verdict::NotRun);
         portion.may_have_run |= verdict == Verdict::MayHaveRun;
         if !portion.attempts.is_empty() {
             return;
         }
         match self.authorize_retry(key, verdict, reason) {
             Ok(()) => self.requeue(key, reason, out),
-            Err(refused) => self.finish(key, refused, out),
+            Err(refused) => self.refuse_portion(key, refused, out),
         }
     }
 
@@ -269,16 +274,16 @@
         let portion_verdict = portion.verdict();
         let work = &portion.job.work;
         if portion.unrepeatable && portion.may_have_run {
-            return Err(Refused::with(portion_verdict, reason));
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         if portion.failures >= MAX_FAILED_CALLS || self.now >= portion.deadline {
-            return Err(Refused::with(portion_verdict, reason));
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         let eligible = portion.eligible.as_deref();
         let check = self.check_servers(portion.service, work, eligible, portion.deadline);
         check.map_err(|refused| Refused { verdict: portion_verdict, ..refused })?;
-        if !portion.may_go_out() {
-            return Err(Refused::with(portion_verdict, reason));
+        if !portion.may_be_sent_again() {
+            return Err(Refused::with_verdict(portion_verdict, reason));
         }
         let limits = self.services[portion.service].limits();
         let reached_server = reason != Reason::ConnectFailed;
@@ -289,7 +294,7 @@
         let budget = self.services[portion.service].budget.refill(self.now);
         match extra_calls <= MAX_EXTRA_CALLS_PER_QUERY && budget.spend() {
             true => Ok(()),
-            false => Err(Refused::with(portion_verdict, Reason::RetryBudget)),
+            false => Err(Refused::with_verdict(portion_verdict, Reason::RetryBudget)),
         }
     }
 
@@ -304,7 +309,7 @@
         if matches!(outcome, Outcome::Answer(_)) {
             Self::count(count::Event::Drop, Reason::StaleAnswer, out);
         }
-        let Some(name) = &attempt.record else {
+        let Some(key) = &attempt.record else {
             return;
         };
         let state = match verdict::of(outcome) {
@@ -314,11 +319,15 @@
             Verdict::NotRun => record::State::Withdrawn,
             _ => record::State::MayHaveRun,
         };
-        self.records.settle(self.now, name, state);
+        self.records.settle(self.now, key, state);
     }
 
     /// Refuses queued portions that no server of the service can take any more.
-    pub(super) fn recheck(&mut self, id: super::service::ServiceId, out: &mut Vec<Action>) {
+    pub(super) fn refuse_unservable(
+        &mut self,
+        id: super::service::ServiceId,
+        out: &mut Vec<Action>,
+    ) {
         let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
         for key in queued {
             let portion = &self.portions[key];
@@ -328,7 +337,7 @@
                 continue;
             };
             let verdict = portion.verdict();
-            self.finish(key, Refused { verdict, ..refused }, out);
+            self.refuse_portion(key, Refused { verdict, ..refused }, out);
         }
     }
 }
--- a/crates/core/src/leaf/hedge.rs
+++ b/crates/core/src/leaf/hedge.rs
@@ -55,7 +55,7 @@
     /// after [`HEDGE_DELAY_TARGET_PERCENT`] of it at the latest.
     pub(super) fn hedge_delay(&self, key: PortionKey) -> Option<Duration> {
         let portion = &self.portions[key];
-        let learned = self.slow(portion.service, portion.kind);
+        let learned = self.slow_call_time(portion.service, portion.kind);
         let forward = portion.job.work.forward.as_ref();
         let target = forward.map_or(0, |forward| forward.target_ms);
         if target == 0 {
@@ -83,20 +83,20 @@
         }
         let id = portion.service;
         let sent = self.attempts[attempt].sent;
-        self.services[id].overdue.insert((sent, key));
-        self.mark(id);
+        self.services[id].due_hedges.insert((sent, key));
+        self.mark_changed(id);
     }
 
     /// Sends the hedges that are due, for the call sent longest ago first, while slots and tokens
     /// of the budget are available.
     pub(super) fn send_due_hedges(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         let service = &mut self.services[id];
-        if service.overdue.is_empty() || service.busy.value() > MAX_HEDGING_LOAD {
+        if service.due_hedges.is_empty() || service.busy.value() > MAX_HEDGING_LOAD {
             return;
         }
         let limit = HEDGE_SCAN_MARGIN + service.budget.refill(self.now).calls() as usize;
-        let overdue: Vec<_> = service.overdue.iter().take(limit).copied().collect();
-        for (sent, key) in overdue {
+        let due_hedges: Vec<_> = service.due_hedges.iter().take(limit).copied().collect();
+        for (sent, key) in due_hedges {
             if !self.services[id].budget.affords_hedge() || !self.has_room(id) {
                 return;
             }
@@ -104,13 +104,13 @@
                 continue;
             }
             if !self.is_hedge_useful(key) {
-                self.services[id].overdue.remove(&(sent, key));
+                self.services[id].due_hedges.remove(&(sent, key));
                 continue;
             }
             let Some(server) = self.choose_hedge_server(id, key) else {
                 continue;
             };
-            self.services[id].overdue.remove(&(sent, key));
+            self.services[id].due_hedges.remove(&(sent, key));
             self.services[id].budget.spend();
             self.portions[key].hedged = true;
             Self::count(count::Event::Hedge, Reason::Hedge, out);
@@ -121,8 +121,8 @@
     /// Whether a hedge can still be answered in time and the query has extra calls left.
     fn is_hedge_useful(&self, key: PortionKey) -> bool {
         let portion = &self.portions[key];
-        let mean = self.mean(portion.service, portion.kind).unwrap_or_default();
-        let in_time = self.now + mean / 2 < portion.deadline && portion.may_go_out();
+        let mean = self.mean_call_time(portion.service, portion.kind).unwrap_or_default();
+        let in_time = self.now + mean / 2 < portion.deadline && portion.may_be_sent_again();
         in_time && portion.job.work.extra_calls + portion.calls <= MAX_EXTRA_CALLS_PER_QUERY
     }
 
@@ -138,8 +138,8 @@
             let free = server.in_flight < server.capacity(self.now);
             healthy
                 && free
-                && !server.cold(self.now)
-                && !portion.tried.contains(candidate)
+                && !server.is_cold(self.now)
+                && !portion.tried_servers.contains(candidate)
                 && self.is_eligible_for(key, *candidate)
                 && self.can_send(*candidate)
                 && self.serves_version(*candidate, work)
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -9,7 +9,7 @@
 
 use super::admission;
 use super::event::Action;
-use super::kinds::Kind;
+use super::kinds::WorkKind;
 use super::machine::{Delivery, Machine, Query};
 use super::portion::{Job, Portion, PortionKey};
 use super::queue::{self, Class};
@@ -35,7 +35,7 @@
 
 impl Machine {
     /// Handles a message of work from an entry instance: queues or refuses each of its portions.
-    pub(super) fn work(
+    pub(super) fn recv_work(
         &mut self,
         from: Peer,
         incarnation: u64,
@@ -45,9 +45,9 @@
         let portions = std::mem::take(&mut work.portions);
         let key = work.key.as_str().into();
         let fingerprint = Fingerprint::read(&work.fingerprint);
-        let (collection, siblings) = (None, None);
-        let mut job = Job { from, incarnation, key, fingerprint, work, collection, siblings };
-        job.collection = self.begin_aggregation(&job, portions.len());
+        let (aggregation, siblings) = (None, None);
+        let mut job = Job { from, incarnation, key, fingerprint, work, aggregation, siblings };
+        job.aggregation = self.begin_aggregation(&job, portions.len());
         job.siblings = self.track_siblings(&job, portions.len());
         let job = Arc::new(job);
         for portion in portions {
@@ -64,7 +64,7 @@
             round: job.work.round,
             service: portion.service.clone(),
         };
-        if !self.deliveries.insert(self.now, delivery) {
+        if !self.recent_deliveries.insert(self.now, delivery) {
             Self::count(count::Event::Drop, Reason::RepeatedKey, out);
             self.settle_portion(job, out);
             return;
@@ -89,23 +89,23 @@
         if finding == Some(Finding::Repeated) {
             return Err(Refused::repeated());
         }
-        if self.cancelled.contains(&job.query()) {
-            return Err(Refused::because(Reason::Cancelled));
+        if self.cancelled_queries.contains(&job.query()) {
+            return Err(Refused::not_run(Reason::Cancelled));
         }
         if self.draining {
-            return Err(Refused::because(Reason::Draining));
+            return Err(Refused::not_run(Reason::Draining));
         }
         if job
             .fingerprint
             .is_some_and(|fingerprint| self.view.quarantine.refused.contains(&fingerprint))
         {
-            return Err(Refused::because(Reason::Quarantined));
+            return Err(Refused::not_run(Reason::Quarantined));
         }
         let id = id.filter(|id| self.services[*id].rank != Rank::None);
-        let id = id.ok_or_else(|| Refused::because(self.unowned_reason()))?;
-        self.services[id].wanted = Some(self.now);
+        let id = id.ok_or_else(|| Refused::not_run(self.unowned_reason()))?;
+        self.services[id].last_arrival = Some(self.now);
         if job.from.name != self.settings.name {
-            self.services[id].asked(self.now);
+            self.services[id].record_handover(self.now);
         }
         if finding == Some(Finding::Unproven) {
             return Err(Refused::repeated());
@@ -136,7 +136,7 @@
         let service = &mut self.services[id];
         let counts = portion.repeated && service.limits().count_refused;
         if counts && !service.budget.refill(self.now).spend() {
-            return Err(Refused::because(Reason::RetryBudget));
+            return Err(Refused::not_run(Reason::RetryBudget));
         }
         Ok(())
     }
@@ -146,8 +146,8 @@
         if !is_unrepeatable(&self.services[id], &job.work) {
             return None;
         }
-        let name = record::Name { service: id, key: Arc::clone(&job.key) };
-        Some(self.records.find(&name, job.work.attempt))
+        let key = record::Key { service: id, key: Arc::clone(&job.key) };
+        Some(self.records.find(&key, job.work.attempt))
     }
 
     /// Reason to refuse work for a service of which this instance is no candidate.
@@ -166,13 +166,13 @@
     fn reply_deadline(&self, job: &Job) -> Result<Instant, Refused> {
         let budget = Duration::from_micros(job.work.budget_us);
         let margin = MAX_REPLY_MARGIN.min(budget / 20);
-        let pause = self.gap.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
+        let pause = self.last_pause.filter(|pause| self.now.since(pause.ended) < POST_PAUSE_WINDOW);
         let pause_length = pause.map_or(Duration::ZERO, |pause| pause.length);
         if budget.is_zero() {
-            return Err(Refused::because(Reason::Expired));
+            return Err(Refused::not_run(Reason::Expired));
         }
         if pause_length >= budget - margin {
-            return Err(Refused::because(Reason::Paused));
+            return Err(Refused::not_run(Reason::Paused));
         }
         Ok(self.now + (budget - margin - pause_length))
     }
@@ -188,19 +188,19 @@
         let length = service.queue.len();
         if limit > 0 && length >= limit {
             let wait = self.wait(id, length);
-            return Err(Refused::because(Reason::QueueFull).come_back(wait));
+            return Err(Refused::not_run(Reason::QueueFull).retry_after(wait));
         }
         if !self.settings.queueing {
             return Ok(());
         }
-        let Some(mean) = self.mean(id, work_kind(&job.work)) else {
+        let Some(mean) = self.mean_call_time(id, work_kind(&job.work)) else {
             return Ok(());
         };
         let wait = self.wait(id, service.queue.ahead(class));
         let done = self.now + wait + mean;
         if done > deadline {
             let excess = done.since(deadline);
-            return Err(Refused::because(Reason::WouldMissDeadline).come_back(excess));
+            return Err(Refused::not_run(Reason::WouldMissDeadline).retry_after(excess));
         }
         let budget = deadline.since(self.now);
         let wait = wait.max(self.head_wait(id, class));
@@ -208,7 +208,7 @@
         let admission = &self.services[id].admission;
         match admission.admits(class, fraction, wait, budget) {
             true => Ok(()),
-            false => Err(Refused::because(Reason::WouldMissDeadline).come_back(wait)),
+            false => Err(Refused::not_run(Reason::WouldMissDeadline).retry_after(wait)),
         }
     }
 
@@ -222,7 +222,7 @@
     pub(super) fn wait(&self, id: ServiceId, ahead: usize) -> Duration {
         let service = &self.services[id];
         let slots = self.usable_slots(id).max(1);
-        let mean = service.kinds.all().mean().unwrap_or(DEFAULT_CALL_TIME);
+        let mean = service.call_times.all().mean().unwrap_or(DEFAULT_CALL_TIME);
         if ahead == 0 && service.in_flight < slots {
             return Duration::ZERO;
         }
@@ -239,7 +239,7 @@
         deadline: Instant,
     ) {
         let service = &mut self.services[id];
-        service.last_work = self.now;
+        service.last_accepted = self.now;
         let portion = Portion {
             eligible,
             job: Arc::clone(job),
@@ -248,17 +248,17 @@
             shards: portion.shards.into(),
             arrived: self.now,
             deadline,
-            place: None,
+            queue_position: None,
             unrepeatable: is_unrepeatable(service, &job.work),
             class: urgency_class(service, &job.work),
             kind: work_kind(&job.work),
             timely_at: latency_objective(self.now, &job.work),
             attempts: Vec::new(),
-            tried: Vec::new(),
+            tried_servers: Vec::new(),
             trials: Vec::new(),
             calls: 0,
             failures: 0,
-            spared: 0,
+            proved_not_run: 0,
             may_have_run: false,
             hedged: false,
         };
@@ -277,46 +277,55 @@
     }
 
     /// Whether a portion is in the queue of its service, without an open call.
-    pub(super) fn waits(&self, key: PortionKey) -> bool {
+    pub(super) fn is_queued(&self, key: PortionKey) -> bool {
         let portion = self.portions.get(key);
-        portion.is_some_and(|portion| portion.place.is_some())
+        portion.is_some_and(|portion| portion.queue_position.is_some())
     }
 
     /// Refuses a portion that is still queued when too little time is left to answer it, so that
     /// its entry instance can use the remaining time.
-    pub(super) fn late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
-        if self.waits(key) {
+    pub(super) fn refuse_if_too_late(&mut self, key: PortionKey, out: &mut Vec<Action>) {
+        if self.is_queued(key) {
             let verdict = self.current_verdict(key);
-            self.finish(key, Refused::with(verdict, Reason::WouldMissDeadline), out);
+            self.refuse_portion(
+                key,
+                Refused::with_verdict(verdict, Reason::WouldMissDeadline),
+                out,
+            );
         }
     }
 
     /// Puts a portion without an open call into the queue of its service.
     pub(super) fn push_to_queue(&mut self, key: PortionKey) {
         let portion = &mut self.portions[key];
-        let (class, turn) = match portion.timely_at {
+        let (class, order_key) = match portion.timely_at {
             Some(timely_at) if self.now < timely_at => (Class::TIMED, timely_at),
             Some(_) => (Class::LATE, portion.arrived),
-            None => (portion.class, queue::turn(portion.arrived, portion.deadline)),
+            None => (portion.class, queue::order_key(portion.arrived, portion.deadline)),
         };
         let service = &mut self.services[portion.service];
-        portion.place = Some(service.queue.push(class, turn, key));
+        portion.queue_position = Some(service.queue.push(class, order_key, key));
         let id = portion.service;
         let work = service.in_flight as usize + service.queue.len();
         service.peak.add(self.now, work.div_ceil(service.servers.len().max(1)));
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Handles the cancellation of a query by its entry instance. Portions that are still queued
     /// are reported as not run.
-    pub(super) fn cancel(&mut self, from: Arc<str>, cancel: &wire::Cancel, out: &mut Vec<Action>) {
+    pub(super) fn handle_cancel(
+        &mut self,
+        from: Arc<str>,
+        cancel: &wire::Cancel,
+        out: &mut Vec<Action>,
+    ) {
         let query = Query { from, incarnation: cancel.incarnation, number: cancel.query };
         let keys = self.queries.remove(&query).unwrap_or_default();
         self.drop_aggregations(&keys);
-        self.cancelled.insert(self.now, query);
+        self.cancelled_queries.insert(self.now, query);
         for key in keys {
             let verdict = self.current_verdict(key);
-            self.finish(key, Refused::with(verdict, Reason::Cancelled), out);
+            self.refuse_portion(key, Refused::with_verdict(verdict, Reason::Cancelled), out);
         }
     }
 
@@ -331,12 +340,12 @@
     }
 
     /// Refuses a portion whose deadline has passed.
-    pub(super) fn deadline(&mut self, key: PortionKey, out: &mut Vec<Action>) {
+    pub(super) fn refuse_at_deadline(&mut self, key: PortionKey, out: &mut Vec<Action>) {
         if !self.portions.contains_key(key) {
             return;
         }
         let verdict = self.current_verdict(key);
-        self.finish(key, Refused::with(verdict, Reason::Deadline), out);
+        self.refuse_portion(key, Refused::with_verdict(verdict, Reason::Deadline), out);
     }
 }
 
@@ -348,10 +357,10 @@
 
 /// Kind of work for which call times are learned: the route of a forwarded message, else the
 /// operation.
-fn work_kind(work: &wire::Work) -> Kind {
+fn work_kind(work: &wire::Work) -> WorkKind {
     match &work.forward {
-        Some(forward) => Kind(forward.kind),
-        None => Kind(hash::of(&[work.operation.as_bytes()])),
+        Some(forward) => WorkKind(forward.kind),
+        None => WorkKind(hash::of(&[work.operation.as_bytes()])),
     }
 }
 
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/lanes.rs
@@ -6,7 +6,7 @@
 
 use super::event::{Action, LaneKey};
 use super::lane::{Lane, State};
-use super::machine::{Machine, UPKEEP};
+use super::machine::{MAINTENANCE_INTERVAL, Machine};
 use super::server::ServerKey;
 use super::service::{Rank, ServiceId};
 use super::timer::Timer;
@@ -45,7 +45,7 @@
         if was_opening {
             lane.since = self.now;
             self.servers[server].open_failures = 0;
-            self.server_listens(server);
+            self.server_accepted_connection(server);
         }
         self.idle(key, out);
     }
@@ -74,9 +74,9 @@
         let delay = MIN_REOPEN_DELAY.saturating_mul(1 << exponent).min(max_delay);
         server.reopen_at = self.now + self.random.jitter(delay);
         let at = server.reopen_at;
-        self.pump_at(service, at);
-        self.recheck(service, out);
-        self.mark(service);
+        self.schedule_dispatch(service, at);
+        self.refuse_unservable(service, out);
+        self.mark_changed(service);
     }
 
     /// Processes the service's connections and queue after a back-off of one of its servers has
@@ -86,7 +86,7 @@
             return;
         }
         self.maintain(id, out);
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Uses a connection that has become idle, or closes it if the server has more connections than
@@ -96,7 +96,7 @@
         self.send_queued_cancels(server, out);
         self.maintain_server(server, out);
         let service = self.servers[server].service;
-        self.mark(service);
+        self.mark_changed(service);
     }
 
     /// Sends cancellations for calls that are no longer needed, as long as idle connections are
@@ -146,13 +146,13 @@
     /// candidates none, until they receive work themselves.
     fn target_connections(&self, key: ServerKey) -> usize {
         let server = &self.servers[key];
-        if !server.accepts() {
+        if !server.accepts_work() {
             return 0;
         }
         let service = &self.services[server.service];
-        let idle_since = self.now.since(service.last_work);
+        let idle_since = self.now.since(service.last_accepted);
         let worked_recently =
-            service.last_work != Default::default() && idle_since < KEEP_AFTER_WORK;
+            service.last_accepted != Default::default() && idle_since < KEEP_AFTER_WORK;
         let has_work = !service.queue.is_empty() || worked_recently;
         let all_slots = server.slots as usize + SPARE_CONNECTIONS;
         let by_rank = match service.rank {
@@ -230,7 +230,7 @@
     }
 
     /// Periodic maintenance of a service: expiry of old records, connections, load report requests.
-    pub(super) fn upkeep(&mut self, id: ServiceId, out: &mut Vec<Action>) {
+    pub(super) fn maintain_service(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         if !self.services.contains_key(id) {
             return;
         }
@@ -238,9 +238,9 @@
         self.services[id].expire_handover(self.now);
         self.maintain(id, out);
         self.probe(id, out);
-        self.mark(id);
-        if !self.forget(id) {
-            self.timers.push(self.now + UPKEEP, Timer::Upkeep(id));
+        self.mark_changed(id);
+        if !self.remove_unused(id) {
+            self.timers.push(self.now + MAINTENANCE_INTERVAL, Timer::Maintenance(id));
         }
     }
 
@@ -256,14 +256,14 @@
             let server = &self.servers[key];
             let lane = server.probe_lane.and_then(|lane| self.lanes.get(lane));
             let probe_is_open = lane.is_some_and(|lane| lane.state == State::Control);
-            if probe_is_open || !server.accepts() || self.now < server.probe_at {
+            if probe_is_open || !server.accepts_work() || self.now < server.probe_at {
                 continue;
             }
             let name = Arc::clone(&server.name);
             let Some(lane) = self.idle_lane(key) else {
                 continue;
             };
-            self.servers[key].probe_at = self.now + UPKEEP;
+            self.servers[key].probe_at = self.now + MAINTENANCE_INTERVAL;
             self.servers[key].probe_lane = Some(lane);
             self.lanes[lane].state = State::Control;
             out.push(Action::Probe { lane, server: name });
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -5,11 +5,11 @@
 
 use slotmap::SlotMap;
 
+use super::aggregate::{Aggregation, AggregationKey};
 use super::attempt::Attempt;
-use super::collect::{Collection, CollectionKey};
 use super::crash::Crashes;
 use super::event::{Action, AttemptKey, Event, LaneKey};
-use super::kinds::Kinds;
+use super::kinds::CallTimesByKind;
 use super::lane::Lane;
 use super::portion::{Portion, PortionKey};
 use super::random::Random;
@@ -20,7 +20,7 @@
 use super::settings::Settings;
 use super::siblings::{Siblings, SiblingsKey};
 use super::timer::{Timer, Timers};
-use super::warmup::Fleet;
+use super::warmup::KnownInstances;
 use crate::collections::Map;
 use crate::count::{self, Count};
 use crate::time::Instant;
@@ -28,7 +28,7 @@
 use ladder_schema::outcome::Reason;
 
 /// Interval between two rounds of periodic maintenance of a service.
-pub(super) const UPKEEP: Duration = Duration::from_secs(1);
+pub(super) const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Identity of one delivery of one portion, for dropping duplicate deliveries.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -55,7 +55,7 @@
 
 /// The most recent pause of the process: when the pause ended and how long it lasted.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Gap {
+pub(super) struct Pause {
     pub(super) ended: Instant,
     pub(super) length: Duration,
 }
@@ -81,33 +81,33 @@
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     /// Portions without a reply yet, by query.
     pub(super) queries: Map<Query, Vec<PortionKey>>,
-    pub(super) deliveries: Recent<Delivery>,
+    pub(super) recent_deliveries: Recent<Delivery>,
     /// Queries that their entry instance cancelled.
     ///
     /// A cancellation may overtake the work that it cancels. The entry then considers the query
     /// closed, while the work that arrives later would still run; this tombstone makes the machine
     /// refuse that work.
-    pub(super) cancelled: Recent<Query>,
+    pub(super) cancelled_queries: Recent<Query>,
     pub(super) records: Records,
     /// Call times by kind of work over all services: the initial estimate for a service that this
     /// instance has no samples of yet.
-    pub(super) kinds: Kinds,
-    pub(super) collections: SlotMap<CollectionKey, Collection>,
+    pub(super) call_times: CallTimesByKind,
+    pub(super) aggregations: SlotMap<AggregationKey, Aggregation>,
     pub(super) siblings: SlotMap<SiblingsKey, Siblings>,
     pub(super) crashes: Crashes,
     /// Instances among which the request rate of servers in warm-up is divided.
-    pub(super) fleet: Fleet,
+    pub(super) known_instances: KnownInstances,
     pub(super) timers: Timers,
     pub(super) random: Random,
     /// Number of the most recent target request.
     pub(super) sequence: u64,
     pub(super) draining: bool,
-    pub(super) gap: Option<Gap>,
+    pub(super) last_pause: Option<Pause>,
     /// Services whose queue or servers changed while the current event was handled.
     ///
-    /// Invariant: contains every service whose `marked` flag is set, and possibly services that
+    /// Invariant: contains every service whose `is_changed` flag is set, and possibly services that
     /// have been removed.
-    pub(super) marked: Vec<ServiceId>,
+    pub(super) changed_services: Vec<ServiceId>,
 }
 
 impl Machine {
@@ -124,20 +124,20 @@
             portions: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             queries: Map::default(),
-            deliveries: Recent::default(),
-            cancelled: Recent::default(),
+            recent_deliveries: Recent::default(),
+            cancelled_queries: Recent::default(),
             records: Records::default(),
-            kinds: Kinds::default(),
-            collections: SlotMap::default(),
+            call_times: CallTimesByKind::default(),
+            aggregations: SlotMap::default(),
             siblings: SlotMap::default(),
             crashes: Crashes::default(),
-            fleet: Fleet::default(),
+            known_instances: KnownInstances::default(),
             timers: Timers::default(),
             random: Random::new(settings.seed),
             sequence: 0,
             draining: false,
-            gap: None,
-            marked: Vec::new(),
+            last_pause: None,
+            changed_services: Vec::new(),
             settings,
         }
     }
@@ -151,7 +151,7 @@
         }
         self.dispatch_event(event, out);
         self.run_due_timers(out);
-        self.pump_marked(out);
+        self.dispatch_changed(out);
         self.drop_stale_timers();
     }
 
@@ -167,15 +167,15 @@
 
     fn dispatch_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Work { from, incarnation, work } => self.work(from, incarnation, work, out),
-            Event::Cancel { from, cancel } => self.cancel(from, &cancel, out),
+            Event::Work { from, incarnation, work } => self.recv_work(from, incarnation, work, out),
+            Event::Cancel { from, cancel } => self.handle_cancel(from, &cancel, out),
             Event::Opened(lane) => self.connection_opened(lane, out),
             Event::Closed(lane) => self.closed(lane, out),
             Event::Refused(lane) => self.lane_refused(lane, out),
-            Event::Ended { attempt, outcome } => self.ended(attempt, outcome, out),
-            Event::Load { server, load } => self.load(&server, load, out),
-            Event::View(view) => self.refresh(&view, out),
-            Event::Paused(gap) => self.resumed(gap, out),
+            Event::Ended { attempt, outcome } => self.handle_call_end(attempt, outcome, out),
+            Event::Load { server, load } => self.handle_load_report(&server, load, out),
+            Event::View(view) => self.handle_view(&view, out),
+            Event::Paused(length) => self.handle_pause(length, out),
             Event::Drain => self.draining = true,
             Event::Tick => {}
         }
@@ -189,13 +189,13 @@
             }
             self.timers.pop();
             match timer {
-                Timer::Deadline(portion) => self.deadline(portion, out),
-                Timer::Late(portion) => self.late(portion, out),
+                Timer::Deadline(portion) => self.refuse_at_deadline(portion, out),
+                Timer::Late(portion) => self.refuse_if_too_late(portion, out),
                 Timer::Hedge(portion) => self.hedge_due(portion),
-                Timer::Pump(service) => self.resume_service(service, out),
-                Timer::Upkeep(service) => self.upkeep(service, out),
-                Timer::Abandon(attempt) => self.abandon(attempt, out),
-                Timer::Collection(key) => self.collection_due(key, out),
+                Timer::Dispatch(service) => self.resume_service(service, out),
+                Timer::Maintenance(service) => self.maintain_service(service, out),
+                Timer::Abandon(attempt) => self.abandon_call(attempt, out),
+                Timer::Aggregation(key) => self.aggregation_due(key, out),
             }
         }
     }
@@ -206,11 +206,11 @@
         while let Some((_, timer)) = self.timers.peek() {
             let is_stale = match timer {
                 Timer::Deadline(portion) => !self.portions.contains_key(portion),
-                Timer::Late(portion) => !self.waits(portion),
+                Timer::Late(portion) => !self.is_queued(portion),
                 Timer::Hedge(portion) => !self.portions.contains_key(portion),
                 Timer::Abandon(attempt) => !self.attempts.contains_key(attempt),
-                Timer::Collection(key) => !self.collections.contains_key(key),
-                Timer::Pump(service) | Timer::Upkeep(service) => {
+                Timer::Aggregation(key) => !self.aggregations.contains_key(key),
+                Timer::Dispatch(service) | Timer::Maintenance(service) => {
                     !self.services.contains_key(service)
                 }
             };
@@ -223,13 +223,13 @@
 
     /// Marks a service whose queue or servers changed, so that its queue is processed at the end of
     /// the event.
-    pub(super) fn mark(&mut self, service: ServiceId) {
+    pub(super) fn mark_changed(&mut self, service: ServiceId) {
         let Some(entry) = self.services.get_mut(service) else {
             return;
         };
-        if !entry.marked {
-            entry.marked = true;
-            self.marked.push(service);
+        if !entry.is_changed {
+            entry.is_changed = true;
+            self.changed_services.push(service);
         }
     }
 
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -8,7 +8,7 @@
 
 use super::event::Action;
 use super::lane;
-use super::machine::{Gap, Machine, UPKEEP};
+use super::machine::{MAINTENANCE_INTERVAL, Machine, Pause};
 use super::portion::PortionKey;
 use super::reply::Refused;
 use super::server::{Server, ServerKey};
@@ -19,10 +19,10 @@
 impl Machine {
     /// Applies a new view: updates services and servers, and refuses queued portions that can no
     /// longer be sent.
-    pub(super) fn refresh(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
+    pub(super) fn handle_view(&mut self, view: &Arc<View>, out: &mut Vec<Action>) {
         let before = std::mem::replace(&mut self.view, Arc::clone(view));
         let others = view.neighbours.iter().map(|neighbour| &neighbour.peer.name);
-        if self.fleet.observe(self.now, others.chain([&self.settings.name])) {
+        if self.known_instances.observe(self.now, others.chain([&self.settings.name])) {
             self.update_warmup_quotas();
         }
         for (key, listed) in &view.services {
@@ -43,9 +43,9 @@
             if self.services[id].rank == Rank::None {
                 self.refuse_queued(id, out);
             }
-            self.recheck(id, out);
+            self.refuse_unservable(id, out);
             self.maintain(id, out);
-            self.mark(id);
+            self.mark_changed(id);
         }
         self.apply_quarantine(&before.quarantine, out);
     }
@@ -57,7 +57,7 @@
             None => self.insert_service(listed),
         };
         let service = &mut self.services[id];
-        service.list(listed, &self.settings.name);
+        service.update_from_view(listed, &self.settings.name);
         let servers = service.servers.clone();
         for key in servers {
             self.servers[key].listed = false;
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Adds a service that is new to this instance and schedules its periodic upkeep.
+    /// Adds a service that is new to this instance and schedules its periodic maintenance.
     fn insert_service(&mut self, listed: &view::Service) -> ServiceId {
         let id = self.services.insert(Service::new(listed, &self.settings.name, self.now));
         self.service_ids.insert(Arc::clone(&listed.name), id);
-        let first = self.now + self.random.jitter(UPKEEP);
-        self.timers.push(first, Timer::Upkeep(id));
+        let first = self.now + self.random.jitter(MAINTENANCE_INTERVAL);
+        self.timers.push(first, Timer::Maintenance(id));
         id
     }
 
@@ -91,7 +91,7 @@
         if let Some(key) = same {
             let known_incarnation = self.servers[key].incarnation;
             let warmup = self.services[id].warmup();
-            self.servers[key].list(self.now, listed, warmup);
+            self.servers[key].update_from_view(self.now, listed, warmup);
             self.update_warmup_quota(key);
             if known_incarnation < listed.incarnation {
                 self.close_stale_connections(key, out);
@@ -143,14 +143,14 @@
     fn refuse_queued(&mut self, id: ServiceId, out: &mut Vec<Action>) {
         let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
         for key in queued {
-            let refused = Refused::with(self.current_verdict(key), Reason::NotOwner);
-            self.finish(key, refused, out);
+            let refused = Refused::with_verdict(self.current_verdict(key), Reason::NotOwner);
+            self.refuse_portion(key, refused, out);
         }
     }
 
     /// Removes the unlisted servers without calls and connections, and the service itself when it
     /// has no rank, servers, calls or queued portions. Returns `true` when the service was removed.
-    pub(super) fn forget(&mut self, id: ServiceId) -> bool {
+    pub(super) fn remove_unused(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
             !server.listed && server.in_flight == 0 && server.lanes.is_empty()
@@ -184,7 +184,7 @@
     }
 
     /// Applies a load report of a server; a missing report changes nothing.
-    pub(super) fn load(
+    pub(super) fn handle_load_report(
         &mut self,
         name: &Arc<str>,
         load: Option<target::Load>,
@@ -203,11 +203,11 @@
         if known_incarnation < server.incarnation {
             self.server_terminated(key, known_incarnation, out);
         }
-        if self.servers[key].leaving() {
+        if self.servers[key].is_leaving() {
             self.maintain_server(key, out);
-            self.recheck(id, out);
+            self.refuse_unservable(id, out);
         }
-        self.mark(id);
+        self.mark_changed(id);
     }
 
     /// Handles the end of a process pause.
@@ -215,16 +215,16 @@
     /// Portions that were queued during the pause are late, and the view is as old as the pause:
     /// another instance may have become the owner of the services since then. Non-idempotent
     /// portions and portions past their deadline are therefore refused.
-    pub(super) fn resumed(&mut self, length: Duration, out: &mut Vec<Action>) {
-        self.gap = Some(Gap { ended: self.now, length });
+    pub(super) fn handle_pause(&mut self, length: Duration, out: &mut Vec<Action>) {
+        self.last_pause = Some(Pause { ended: self.now, length });
         let ids: Vec<ServiceId> = self.services.keys().collect();
         for id in ids {
             let queued: Vec<PortionKey> = self.services[id].queue.order().collect();
             for key in queued {
                 let portion = &self.portions[key];
                 if portion.unrepeatable || portion.deadline <= self.now {
-                    let refused = Refused::with(portion.verdict(), Reason::Paused);
-                    self.finish(key, refused, out);
+                    let refused = Refused::with_verdict(portion.verdict(), Reason::Paused);
+                    self.refuse_portion(key, refused, out);
                 }
             }
         }
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -24,21 +24,21 @@
 
 impl Refused {
     /// A refusal of work that did not run.
-    pub(super) fn because(reason: Reason) -> Self {
-        Self::with(Verdict::NotRun, reason)
+    pub(super) fn not_run(reason: Reason) -> Self {
+        Self::with_verdict(Verdict::NotRun, reason)
     }
 
-    pub(super) fn with(verdict: Verdict, reason: Reason) -> Self {
+    pub(super) fn with_verdict(verdict: Verdict, reason: Reason) -> Self {
         Self { verdict, reason, retry_after: Duration::ZERO }
     }
 
     /// A refusal of a request whose earlier delivery may have run.
     pub(super) fn repeated() -> Self {
-        Self::with(Verdict::MayHaveRun, Reason::RepeatedKey)
+        Self::with_verdict(Verdict::MayHaveRun, Reason::RepeatedKey)
     }
 
     /// Sets the delay after which the entry may retry, at least 1 ms.
-    pub(super) fn come_back(mut self, after: Duration) -> Self {
+    pub(super) fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after = after.max(Duration::from_millis(1));
         self
     }
@@ -55,14 +55,19 @@
     ) {
         Self::count(count::Event::Refusal, refused.reason, out);
         let reply = reply(job, service, refused, 0, Vec::new());
-        self.reply(job, reply, out);
+        self.reply_or_aggregate(job, reply, out);
     }
 
     /// Replies to a queued or sent portion with a refusal and removes the portion.
-    pub(super) fn finish(&mut self, key: PortionKey, refused: Refused, out: &mut Vec<Action>) {
+    pub(super) fn refuse_portion(
+        &mut self,
+        key: PortionKey,
+        refused: Refused,
+        out: &mut Vec<Action>,
+    ) {
         Self::count(count::Event::Refusal, refused.reason, out);
         let calls_too_slow = refused.reason == Reason::Deadline;
-        self.close(key, refused, Vec::new(), calls_too_slow, out);
+        self.close_portion(key, refused, Vec::new(), calls_too_slow, out);
     }
 
     /// Replies to a portion with a target's answer and removes the portion.
@@ -72,15 +77,15 @@
         parts: Vec<call::Part>,
         out: &mut Vec<Action>,
     ) {
-        let answered = Refused::with(Verdict::Ran, Reason::Unspecified);
-        self.close(key, answered, parts, true, out);
+        let answered = Refused::with_verdict(Verdict::Ran, Reason::Unspecified);
+        self.close_portion(key, answered, parts, true, out);
     }
 
     /// Removes a portion from the machine's state and replies to it. Its open calls are cancelled
     /// where that is allowed. With `slow` (after a missed deadline or the answer of another call),
     /// open calls that exceed the usual call time count as slow and as failed calls of their
     /// servers.
-    fn close(
+    fn close_portion(
         &mut self,
         key: PortionKey,
         refused: Refused,
@@ -102,24 +107,24 @@
         }
         let service = &self.services[portion.service];
         let (name, busy) = (service.name.to_string(), service.busy.value());
-        self.mark(portion.service);
+        self.mark_changed(portion.service);
         let mut reply = reply(&portion.job, name, refused, portion.calls, parts);
         reply.busy_permille = (busy * 1000.0) as u32;
         if portion.eligible.is_some() {
             reply.avoid = self.avoided(portion.service);
         }
-        self.reply(&portion.job, reply, out);
+        self.reply_or_aggregate(&portion.job, reply, out);
         self.portion_ended(&portion.job, out);
     }
 
     fn remove_references(&mut self, key: PortionKey, portion: &Portion) {
         let service = &mut self.services[portion.service];
-        if let Some(place) = portion.place {
-            service.queue.remove(place);
+        if let Some(position) = portion.queue_position {
+            service.queue.remove(position);
         }
         for attempt in &portion.attempts {
             let sent = self.attempts[*attempt].sent;
-            service.overdue.remove(&(sent, key));
+            service.due_hedges.remove(&(sent, key));
         }
         let query = portion.job.query();
         let Some(keys) = self.queries.get_mut(&query) else {
@@ -139,13 +144,13 @@
         if attempt.record.is_some() {
             return;
         }
-        attempt.given_up = true;
+        attempt.abandoned = true;
         let elapsed = self.now.since(attempt.sent);
         let (service, server, kind) = (attempt.service, attempt.server, attempt.kind);
-        let slow_after = self.slow(service, kind);
+        let slow_after = self.slow_call_time(service, kind);
         if slow && slow_after.is_some_and(|slow_after| elapsed >= slow_after) {
-            let usual = self.mean(service, kind);
-            self.learn_time(service, kind, elapsed);
+            let usual = self.mean_call_time(service, kind);
+            self.record_call_time(service, kind, elapsed);
             let health = &mut self.servers[server].health;
             health.slow(elapsed, usual);
             health.failed(self.now, &mut self.random);
@@ -164,7 +169,7 @@
     /// Most calls end before this timer, and their connections stay open. Without the timer a call
     /// at a hanging server would occupy its connection until the caller's deadline, and the server
     /// would go on working for a caller that has left.
-    pub(super) fn abandon(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
+    pub(super) fn abandon_call(&mut self, key: AttemptKey, out: &mut Vec<Action>) {
         let Some(attempt) = self.attempts.remove(key) else {
             return;
         };
@@ -174,7 +179,7 @@
         self.remove_lane(attempt.lane);
         out.push(Action::Close(attempt.lane));
         self.maintain_server(attempt.server, out);
-        self.mark(attempt.service);
+        self.mark_changed(attempt.service);
     }
 }
 
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -9,7 +9,7 @@
 
 use super::admission::Admission;
 use super::budget::{Allowance, Budget};
-use super::kinds::{Kind, Kinds};
+use super::kinds::{CallTimesByKind, WorkKind};
 use super::peak::Peak;
 use super::portion::PortionKey;
 use super::queue::Queue;
@@ -47,7 +47,7 @@
 
 /// On whose behalf an instance sends work to a service's servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Asker {
+pub(super) enum Sender {
     ForAll,
     ForItself,
 }
@@ -79,17 +79,17 @@
     /// Number of the service's open calls, including calls whose portion already has a reply.
     pub(super) in_flight: u32,
     /// Call times by kind of work over all servers of the service.
-    pub(super) kinds: Kinds,
+    pub(super) call_times: CallTimesByKind,
     /// Moving average of the servers' running and waiting requests divided by their slots; zero
     /// until an answer reports an occupancy.
     pub(super) busy: MovingAverage,
     /// Whether the service's queue or servers changed while the current event was handled.
-    pub(super) marked: bool,
+    pub(super) is_changed: bool,
     pub(super) budget: Budget,
     pub(super) admission: Admission,
     /// Portions whose hedge is due but has found no free slot or no budget yet, by time of the
     /// first call.
-    pub(super) overdue: BTreeSet<(Instant, PortionKey)>,
+    pub(super) due_hedges: BTreeSet<(Instant, PortionKey)>,
     /// Recent maximum of concurrent connections needed to one server.
     pub(super) peak: Peak,
     /// Index of the server that is considered first for the next call.
@@ -105,11 +105,11 @@
     /// This instance's share of the fleet's budget for extra calls.
     extra_call_shares: ExtraCallShares,
     /// Time at which another instance last handed over work; `None` if it expired.
-    asked: Option<Instant>,
+    last_handover: Option<Instant>,
     /// Time at which work was last accepted.
-    pub(super) last_work: Instant,
+    pub(super) last_accepted: Instant,
     /// Time at which work last arrived, refused or not; `None` before the first.
-    pub(super) wanted: Option<Instant>,
+    pub(super) last_arrival: Option<Instant>,
 }
 
 impl Service {
@@ -122,21 +122,21 @@
             servers: Vec::new(),
             queue: Queue::default(),
             in_flight: 0,
-            kinds: Kinds::default(),
+            call_times: CallTimesByKind::default(),
             busy: MovingAverage::default(),
-            marked: false,
+            is_changed: false,
             budget: Budget::new(ExtraCallShares::of(listed, own).one_of_all, now),
             admission: Admission::default(),
-            overdue: BTreeSet::new(),
+            due_hedges: BTreeSet::new(),
             peak: Peak::default(),
             cursor: 0,
             scarce: listed.scarce,
             spare: listed.spare,
             owned: listed.candidates.len() > 1,
             extra_call_shares: ExtraCallShares::of(listed, own),
-            asked: None,
-            last_work: Instant::default(),
-            wanted: None,
+            last_handover: None,
+            last_accepted: Instant::default(),
+            last_arrival: None,
         }
     }
 
@@ -151,18 +151,18 @@
 
     /// On whose behalf this instance sends work to the service's servers: for all instances or for
     /// itself alone; `None` if another instance sends the work.
-    pub(super) fn asks(&self) -> Option<Asker> {
+    pub(super) fn sender(&self) -> Option<Sender> {
         match (self.scarce, self.rank) {
-            (true, _) if self.asked.is_some() => Some(Asker::ForAll),
+            (true, _) if self.last_handover.is_some() => Some(Sender::ForAll),
             (true, _) => None,
-            (false, Rank::Owner) if self.owned => Some(Asker::ForAll),
+            (false, Rank::Owner) if self.owned => Some(Sender::ForAll),
             (false, _) if self.owned => None,
-            (false, _) => Some(Asker::ForItself),
+            (false, _) => Some(Sender::ForItself),
         }
     }
 
     /// Updates the service from a view; `own` is the name of this instance.
-    pub(super) fn list(&mut self, listed: &view::Service, own: &str) {
+    pub(super) fn update_from_view(&mut self, listed: &view::Service, own: &str) {
         self.rank = Rank::of(listed);
         self.scarce = listed.scarce;
         self.spare = listed.spare;
@@ -174,12 +174,12 @@
 
     /// Whether work arrived within [`DEMAND_MEMORY`], refused or not.
     pub(super) fn has_demand(&self, now: Instant) -> bool {
-        self.wanted.is_some_and(|at| now.since(at) < DEMAND_MEMORY)
+        self.last_arrival.is_some_and(|at| now.since(at) < DEMAND_MEMORY)
     }
 
     /// Records that another instance handed over work.
-    pub(super) fn asked(&mut self, now: Instant) {
-        if self.asked.replace(now).is_none() {
+    pub(super) fn record_handover(&mut self, now: Instant) {
+        if self.last_handover.replace(now).is_none() {
             self.apply_extra_call_share();
         }
     }
@@ -187,15 +187,15 @@
     /// Ends this instance's role of sending work for others when no instance has handed over work
     /// for [`HANDOVER_MEMORY`].
     pub(super) fn expire_handover(&mut self, now: Instant) {
-        if self.asked.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
-            self.asked = None;
+        if self.last_handover.is_some_and(|at| now.since(at) >= HANDOVER_MEMORY) {
+            self.last_handover = None;
             self.apply_extra_call_share();
         }
     }
 
     fn apply_extra_call_share(&mut self) {
-        let sends_for_all = self.scarce && self.asked.is_some();
-        self.budget.allow(if sends_for_all {
+        let sends_for_all = self.scarce && self.last_handover.is_some();
+        self.budget.set_allowance(if sends_for_all {
             self.extra_call_shares.sends_for_all
         } else {
             self.extra_call_shares.one_of_all
@@ -211,9 +211,9 @@
     }
 
     /// Adds a call time to the service's estimates.
-    pub(super) fn learn(&mut self, kind: Kind, span: Duration) {
+    pub(super) fn record_call_time(&mut self, kind: WorkKind, span: Duration) {
         let extra = self.limits().extra_percent;
-        self.kinds.learn(kind, span, extra);
+        self.call_times.record_call_time(kind, span, extra);
     }
 }
 
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -91,7 +91,7 @@
     fn service_status(&self, id: super::service::ServiceId, now: Instant) -> Service {
         let service = &self.services[id];
         let suspects = self.suspects(id);
-        let times = service.kinds.all().estimate();
+        let times = service.call_times.all().estimate();
         let servers = service.servers.iter().map(|key| {
             let server = &self.servers[*key];
             server_status(server, suspects.contains(key), times.mean(), now)
@@ -103,7 +103,7 @@
             in_flight: service.in_flight,
             median: times.quantile(0.5),
             p99: times.quantile(0.99),
-            hedge_delay: service.kinds.all().slow(),
+            hedge_delay: service.call_times.all().slow(),
             budget: service.budget.calls(),
             servers: servers.collect(),
         }
@@ -124,7 +124,11 @@
         connections: server.lanes.len(),
         share: server.share,
         failure_rate: server.health.failure_rate(now),
-        mean: server.health.pace(now).zip(usual).map(|(pace, usual)| usual.mul_f64(pace)),
+        mean: server
+            .health
+            .relative_call_time(now)
+            .zip(usual)
+            .map(|(relative, usual)| usual.mul_f64(relative)),
         report_age: server.report_age(now),
     }
 }
@@ -147,7 +151,7 @@
     if now < server.health.shed_until() {
         return State::Shedding;
     }
-    if server.cold(now) {
+    if server.is_cold(now) {
         return State::Cold;
     }
     State::Usable
--- a/crates/core/src/leaf/warmup.rs
+++ b/crates/core/src/leaf/warmup.rs
@@ -14,7 +14,7 @@
 
 use super::machine::Machine;
 use super::server::ServerKey;
-use super::service::Asker;
+use super::service::Sender;
 use crate::control::hash;
 use crate::time::Instant;
 
@@ -76,7 +76,7 @@
 
 /// The instances among which a warm-up limit is divided.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Fleet {
+pub(super) struct KnownInstances {
     /// Names in the largest list of instances known recently, including this instance.
     names: Vec<Arc<str>>,
     /// Time at which this list of instances was last current.
@@ -85,7 +85,7 @@
     started: Option<Instant>,
 }
 
-impl Fleet {
+impl KnownInstances {
     /// Records the instances known now. Returns whether the list among which limits are divided has
     /// changed.
     pub(super) fn observe<'a>(
@@ -136,7 +136,7 @@
 impl Warmup {
     /// Records the published remaining warm-up time. The end of the warm-up moves only when the
     /// published value changes.
-    pub(super) fn publish(&mut self, now: Instant, left: Duration) {
+    pub(super) fn update_published(&mut self, now: Instant, left: Duration) {
         if left != self.published {
             self.published = left;
             self.until = now + left;
@@ -186,10 +186,10 @@
         let Some(limit) = WarmupLimit::of(&service.limits()) else {
             return Instant::default();
         };
-        let quota = match service.asks() {
-            _ if !self.fleet.knows_fleet(self.now) => 0,
-            Some(Asker::ForAll) => limit.fleet_sender_quota(),
-            Some(Asker::ForItself) => server.warmup.quota,
+        let quota = match service.sender() {
+            _ if !self.known_instances.knows_fleet(self.now) => 0,
+            Some(Sender::ForAll) => limit.fleet_sender_quota(),
+            Some(Sender::ForItself) => server.warmup.quota,
             None => 0,
         };
         server.warmup.next_request_at(quota)
@@ -203,7 +203,7 @@
         }
         self.servers[key].warmup.record_request(self.now);
         let at = self.next_warmup_request_at(key);
-        self.pump_at(self.servers[key].service, at);
+        self.schedule_dispatch(self.servers[key].service, at);
     }
 
     /// Computes the warm-up quota of a listed server and schedules a dispatch for the end of its
@@ -214,10 +214,10 @@
             return;
         };
         if !server.warmup.is_over(self.now) {
-            let names = self.fleet.names();
+            let names = self.known_instances.names();
             server.warmup.quota = limit.quota(&server.name, &self.settings.name, names);
             let (service, until) = (server.service, server.warmup.until);
-            self.pump_at(service, until);
+            self.schedule_dispatch(service, until);
         }
     }
 
