--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -69,7 +69,8 @@
 /// Number of connections to a server that an instance may open at its start, before it can know
 /// how many other instances share them. Connections are opened only when work needs them. With
 /// only one, the instance that sends the requests of all others to a server used half of the
-/// server's slots for seconds, and the first two seconds after a loss of all instances scored 0.69
+/// server's slots for seconds. In the two seconds after a loss of all instances the share of the
+/// possible value of all answers (an answer after its latency objective counts less) was then 0.69
 /// instead of 0.96.
 const INITIAL_SHARE: u32 = 2;
 
--- a/crates/core/src/gather/forward.rs
+++ b/crates/core/src/gather/forward.rs
@@ -68,7 +68,7 @@
         };
         let Some(route) = table.find(&message.host, &message.target) else {
             let (host, target, version) = (&message.host, &message.target, table.version);
-            let detail = format!("{host}{target}; no route of version {version} matches");
+            let detail = format!("{host}{target}; no route of version {version} leads there");
             return Err(Refusal::new(Reason::UnknownRoute, detail));
         };
         if let Some(refusal) = refuse_unreachable_floor(view, route) {
--- a/crates/core/src/gather/machine.rs
+++ b/crates/core/src/gather/machine.rs
@@ -189,7 +189,7 @@
             return Err(refuse(Refusal::new(Reason::QueueFull, detail)));
         }
         if self.view.quarantine.refused.contains(&fingerprint) {
-            let detail = format!("fingerprint: {fingerprint}; servers crashed under such requests");
+            let detail = format!("fingerprint: {fingerprint}; servers ended under such requests");
             return Err(refuse(Refusal::new(Reason::Quarantined, detail)));
         }
         let plan = match &request.message {
@@ -200,7 +200,7 @@
         if plan.terms.unrepeatable
             && let Some(verdict) = self.request_keys.get(&request.key)
         {
-            let detail = format!("key: {}; a request with this key was accepted here", request.key);
+            let detail = format!("key: {}; a request with it was taken here", request.key);
             return Err((Refusal::new(Reason::RepeatedKey, detail), verdict));
         }
         Ok(plan)
--- a/crates/core/tests/fleet/many.rs
+++ b/crates/core/tests/fleet/many.rs
@@ -194,8 +194,9 @@
 /// one.
 ///
 /// Both changes are needed: an instance without work keeps no connection, and one instance
-/// aggregates each group of parts. With both there were 122 resets, and the sweeps reached 0.88 of
-/// their worth instead of 0.68. With one aggregator but with connections kept, the resets remained.
+/// aggregates each group of parts. With both there were 122 resets, and the sweeps reached 0.88
+/// instead of 0.68 of the possible value of the answers (an answer after its latency objective
+/// counts less). With one aggregator but with connections kept, the resets remained.
 #[test]
 fn idle_instances_together_stay_within_the_connection_limit() {
     struct Case {
