--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -26,7 +26,7 @@
 
 /// Number of random peers that a change is sent to at once.
 const BROADCAST_FANOUT: usize = 4;
-/// Number of random peers that receive gossip updates at each probe, besides the neighbours.
+/// Number of random peers that receive gossip updates at each probe, besides the probed members.
 const GOSSIP_FANOUT: usize = 2;
 /// Number of peers that this instance notifies directly when it leaves.
 const LEAVE_NOTICE_FANOUT: usize = 32;
@@ -283,7 +283,7 @@
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.timing.probe;
             self.membership.tick(now);
-            self.probe_neighbours(out);
+            self.probe_members(out);
             self.gossip(out);
         }
         if now >= self.next_digest_at {
@@ -434,7 +434,7 @@
     }
 
     fn handle_pause(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.membership.resumed(now);
+        self.membership.restart_silence_periods(now);
         self.reader.resumed(now);
         for peer in self.random_peers(BROADCAST_FANOUT) {
             self.send_digest(now, &peer, out);
@@ -443,7 +443,7 @@
 
     fn drain(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.membership.leave(now);
-        let updates = vec![self.membership.own().as_rumour()];
+        let updates = vec![self.membership.own().to_gossip_update()];
         for peer in self.random_peers(LEAVE_NOTICE_FANOUT) {
             let frame = self.own_frame();
             peer.send(Frame { rumours: updates.clone(), ..frame }, out);
--- a/crates/core/src/control/machine/exchange.rs
+++ b/crates/core/src/control/machine/exchange.rs
@@ -11,7 +11,7 @@
 };
 use crate::control::Action;
 use crate::control::belief::Belief;
-use crate::control::membership::{Life, Member};
+use crate::control::membership::{FrameEffect, Member};
 use crate::control::spread::{self, News};
 use crate::time::Instant;
 
@@ -32,15 +32,15 @@
 impl Machine {
     pub(super) fn handle_frame(&mut self, now: Instant, frame: Frame, out: &mut Vec<Action>) {
         let mut reply = Frame::default();
-        match self.membership.heard(now, &frame) {
-            Life::Ignored if frame.from == *self.settings.name => return,
-            Life::Ignored | Life::Known => {}
-            Life::Joined => reply.rumours = self.membership.doubts(),
-            Life::Doubted(rumour) | Life::Outlived(rumour) => reply.rumours.push(rumour),
+        match self.membership.receive_frame(now, &frame) {
+            FrameEffect::Ignored if frame.from == *self.settings.name => return,
+            FrameEffect::Ignored | FrameEffect::NoChange => {}
+            FrameEffect::NewMember => reply.rumours = self.membership.not_alive_updates(),
+            FrameEffect::MustRefute(u) | FrameEffect::StaleGeneration(u) => reply.rumours.push(u),
         }
         let generation = self.membership.own().generation;
         for rumour in &frame.rumours {
-            self.membership.rumour(now, rumour);
+            self.membership.apply_update(now, rumour);
         }
         let new_generation = self.membership.own().generation;
         if new_generation != generation {
@@ -80,7 +80,7 @@
         }
         self.send_parts(&frame.address, &frame.wanted_parts, out);
         reply.acknowledgements = frame.probes;
-        let in_other_zone = self.membership.is_far(&frame.zone);
+        let in_other_zone = self.membership.is_in_other_zone(&frame.zone);
         self.send_reply(&frame.address, in_other_zone, reply, out);
     }
 
@@ -193,33 +193,33 @@
             || !reply.crashes.is_empty()
             || reply.digest.is_some();
         if has_content && !address.is_empty() {
-            reply.rumours.extend(self.membership.take_rumours(in_other_zone));
+            reply.rumours.extend(self.membership.take_gossip(in_other_zone));
             send(&address.into(), self.signed(reply), out);
         }
     }
 
-    pub(super) fn probe_neighbours(&mut self, out: &mut Vec<Action>) {
-        let neighbours = self.membership.neighbours();
-        let contacts: Vec<Contact> = neighbours.map(|member| self.contact(member)).collect();
+    pub(super) fn probe_members(&mut self, out: &mut Vec<Action>) {
+        let targets = self.membership.probe_targets();
+        let contacts: Vec<Contact> = targets.map(|member| self.contact(member)).collect();
         for peer in contacts {
             self.last_probe_number += 1;
             let frame = Frame {
                 probes: vec![Probe { number: self.last_probe_number }],
-                rumours: self.membership.take_rumours(peer.in_other_zone),
+                rumours: self.membership.take_gossip(peer.in_other_zone),
                 ..self.own_frame()
             };
             peer.send(frame, out);
         }
     }
 
-    /// Sends gossip updates to random peers; probes of the neighbours alone would carry an update
-    /// only a few positions along the ring at a time.
+    /// Sends gossip updates to random peers; probes of ring successors alone would carry an
+    /// update only a few positions along the ring at a time.
     pub(super) fn gossip(&mut self, out: &mut Vec<Action>) {
-        if self.membership.has_rumours(false) {
+        if self.membership.has_gossip(false) {
             let peers = self.random_near_peers(GOSSIP_FANOUT);
             self.send_gossip(&peers, out);
         }
-        if self.membership.has_rumours(true) {
+        if self.membership.has_gossip(true) {
             let peers = self.random_peers(1);
             self.send_gossip(&peers, out);
         }
@@ -227,7 +227,7 @@
 
     fn send_gossip(&mut self, peers: &[Contact], out: &mut Vec<Action>) {
         for peer in peers {
-            let updates: Vec<Rumour> = self.membership.take_rumours(peer.in_other_zone);
+            let updates: Vec<Rumour> = self.membership.take_gossip(peer.in_other_zone);
             if !updates.is_empty() {
                 let frame = self.own_frame();
                 peer.send(Frame { rumours: updates, ..frame }, out);
@@ -235,16 +235,16 @@
         }
     }
 
-    /// Sends digests to a random peer and to a lost member, and also to seeds while no peer has
-    /// answered.
+    /// Sends digests to a random peer and to a published member considered dead, and also to seeds
+    /// while no peer has answered.
     pub(super) fn compare_digests(&mut self, now: Instant, out: &mut Vec<Action>) {
         let mut peers = match self.peer_answered {
             true => self.random_peers(1),
             false => self.random_near_peers(START_FANOUT),
         };
-        let lost_members: Vec<Contact> =
-            self.membership.lost().map(|member| self.contact(member)).collect();
-        peers.extend(self.random.pick(&lost_members, 1));
+        let dead_members: Vec<Contact> =
+            self.membership.published_dead().map(|member| self.contact(member)).collect();
+        peers.extend(self.random.pick(&dead_members, 1));
         if !self.peer_answered || peers.is_empty() {
             let seeds = self.settings.seeds.iter();
             let seeds: Vec<_> = seeds.filter(|seed| **seed != self.settings.address).collect();
@@ -278,7 +278,7 @@
         };
         let frame = Frame {
             probes: vec![Probe { number: self.last_probe_number }],
-            rumours: self.membership.take_rumours(peer.in_other_zone),
+            rumours: self.membership.take_gossip(peer.in_other_zone),
             digest,
             ..self.own_frame()
         };
@@ -337,7 +337,7 @@
     }
 
     fn contact(&self, member: &Member) -> Contact {
-        let in_other_zone = self.membership.is_far(&member.zone);
+        let in_other_zone = self.membership.is_in_other_zone(&member.zone);
         Contact { address: Arc::clone(&member.address), in_other_zone }
     }
 
--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -53,17 +53,17 @@
 
 /// What a received frame implies about its sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Life {
+pub enum FrameEffect {
     /// The frame changes nothing that is known about its sender.
-    Known,
+    NoChange,
     /// The sender is a member or a generation that was not known before.
-    Joined,
+    NewMember,
     /// The sender was suspected or considered dead. The gossip update must be sent to it so that
     /// it refutes.
-    Doubted(Rumour),
+    MustRefute(Rumour),
     /// The frame is from an earlier generation of the member, or from a later process whose host's
     /// clock was set back. The gossip update with the known generation must be sent to the sender.
-    Outlived(Rumour),
+    StaleGeneration(Rumour),
     /// The frame is not from a usable member: it names this instance as sender, or has no sender
     /// name or no address to reply to.
     Ignored,
@@ -147,7 +147,7 @@
     /// Published members considered dead. They are contacted now and then: after a network
     /// partition each side considers the other dead, and otherwise neither would send the first
     /// frame.
-    pub fn lost(&self) -> impl Iterator<Item = &Member> {
+    pub fn published_dead(&self) -> impl Iterator<Item = &Member> {
         let is_dead = |member: &&Member| member.liveness == Liveness::Dead;
         self.members.values().filter(is_dead).filter(|member| member.published_state.is_some())
     }
@@ -196,19 +196,19 @@
     }
 
     /// Processes a received frame. Any frame is a sign of life of its sender.
-    pub fn heard(&mut self, now: Instant, frame: &Frame) -> Life {
+    pub fn receive_frame(&mut self, now: Instant, frame: &Frame) -> FrameEffect {
         if frame.from.is_empty() || frame.from == *self.own.name || frame.address.is_empty() {
-            return Life::Ignored;
+            return FrameEffect::Ignored;
         }
         self.detector.note_frame();
         let known_member = self.members.get_mut(frame.from.as_str());
         let Some(member) = known_member.filter(|member| frame.generation <= member.generation)
         else {
             self.add_sender(now, frame);
-            return Life::Joined;
+            return FrameEffect::NewMember;
         };
         if frame.generation < member.generation {
-            return Life::Outlived(member.as_rumour());
+            return FrameEffect::StaleGeneration(member.to_gossip_update());
         }
         member.last_frame_at = Some(now);
         self.reconsider_on_frame(now, &frame.from)
@@ -239,20 +239,20 @@
     /// Updates the liveness of a member that sent a frame. A suspected member is then alive. A
     /// member considered dead must also refute: its frame may have been sent before its death, and
     /// no instance would detect that death a second time.
-    fn reconsider_on_frame(&mut self, now: Instant, name: &str) -> Life {
+    fn reconsider_on_frame(&mut self, now: Instant, name: &str) -> FrameEffect {
         let Some(member) = self.members.get_mut(name) else {
-            return Life::Ignored;
+            return FrameEffect::Ignored;
         };
-        let suspicion = member.as_rumour();
+        let suspicion = member.to_gossip_update();
         match member.liveness {
             Liveness::Suspect if member.why != Evidence::SeenAgain => {
                 member.set_liveness(now, Liveness::Alive, Evidence::FrameReceived);
             }
             Liveness::Dead => member.set_liveness(now, Liveness::Suspect, Evidence::SeenAgain),
-            _ => return Life::Known,
+            _ => return FrameEffect::NoChange,
         }
         self.note_change();
-        Life::Doubted(suspicion)
+        FrameEffect::MustRefute(suspicion)
     }
 
     /// Marks this instance as leaving, which is final for its generation.
@@ -286,27 +286,27 @@
     }
 
     /// The members that this instance probes now.
-    pub fn neighbours(&self) -> impl Iterator<Item = &Member> {
+    pub fn probe_targets(&self) -> impl Iterator<Item = &Member> {
         let names = self.detector.probed();
         names.filter_map(|name| self.members.get(name))
     }
 
     /// Takes gossip updates for one frame to a peer and counts them as sent. `cross_zone`: the peer
     /// is in another zone.
-    pub fn take_rumours(&mut self, cross_zone: bool) -> Vec<Rumour> {
+    pub fn take_gossip(&mut self, cross_zone: bool) -> Vec<Rumour> {
         let names = self.gossip.take(self.gossip_scope(), cross_zone);
         let mut rumours: Vec<Rumour> = Vec::with_capacity(names.len() + 1);
         let leaving = self.own.liveness == Liveness::Leaving;
         if leaving && !names.contains(&self.own.name) {
-            rumours.push(self.own.as_rumour());
+            rumours.push(self.own.to_gossip_update());
         }
-        rumours.extend(names.iter().filter_map(|name| Some(self.get(name)?.as_rumour())));
+        rumours.extend(names.iter().filter_map(|name| Some(self.get(name)?.to_gossip_update())));
         rumours
     }
 
     /// Whether some gossip update has not been sent often enough: to other zones if `cross_zone`,
     /// otherwise within this instance's zone.
-    pub fn has_rumours(&self, cross_zone: bool) -> bool {
+    pub fn has_gossip(&self, cross_zone: bool) -> bool {
         if cross_zone {
             self.gossip.has_cross_zone(self.gossip_scope())
         } else {
@@ -319,15 +319,15 @@
     }
 
     /// Whether `zone` differs from this instance's zone.
-    pub fn is_far(&self, zone: &str) -> bool {
+    pub fn is_in_other_zone(&self, zone: &str) -> bool {
         *self.own.zone != *zone
     }
 
     /// Gossip updates for a new member, which cannot know yet which members are not alive.
-    pub fn doubts(&self) -> Vec<Rumour> {
+    pub fn not_alive_updates(&self) -> Vec<Rumour> {
         let is_not_alive = |member: &&Member| member.liveness != Liveness::Alive;
         let members = self.members.values().filter(is_not_alive);
-        members.take(queue::UPDATES_PER_FRAME).map(Member::as_rumour).collect()
+        members.take(queue::UPDATES_PER_FRAME).map(Member::to_gossip_update).collect()
     }
 
     /// Whether work may be given to the instance with this name. An instance is leaving if either
--- a/crates/core/src/control/membership/hearsay.rs
+++ b/crates/core/src/control/membership/hearsay.rs
@@ -9,7 +9,7 @@
 
 impl Membership {
     /// Processes a gossip update of a peer: the state of a member as that peer knows it.
-    pub fn rumour(&mut self, now: Instant, rumour: &Rumour) {
+    pub fn apply_update(&mut self, now: Instant, rumour: &Rumour) {
         if rumour.name == *self.own.name {
             self.refute(rumour);
             return;
--- a/crates/core/src/control/membership/member.rs
+++ b/crates/core/src/control/membership/member.rs
@@ -115,7 +115,7 @@
     }
 
     /// The state of the member as this instance knows it, for sending to peers.
-    pub fn as_rumour(&self) -> Rumour {
+    pub fn to_gossip_update(&self) -> Rumour {
         Rumour {
             name: self.name.to_string(),
             generation: self.generation,
--- a/crates/core/src/control/membership/suspicion.rs
+++ b/crates/core/src/control/membership/suspicion.rs
@@ -40,8 +40,8 @@
 
     /// Restarts all silence and suspicion periods after a process pause, because this instance may
     /// itself have caused every silence.
-    pub fn resumed(&mut self, now: Instant) {
-        self.detector.resumed(now);
+    pub fn restart_silence_periods(&mut self, now: Instant) {
+        self.detector.restart_silence_periods(now);
         for member in self.members.values_mut() {
             if member.liveness == Liveness::Suspect {
                 member.liveness_since = now;
@@ -52,7 +52,7 @@
     /// Advances time: raises suspicions, declares suspects dead and forgets expired members.
     pub fn tick(&mut self, now: Instant) {
         if self.detector.tick_is_late(now, self.timing) {
-            self.resumed(now);
+            self.restart_silence_periods(now);
         }
         self.refresh_probe_ring(now);
         for name in self.detector.newly_silent(now, &self.members, self.timing) {
--- a/crates/core/src/control/membership/watch.rs
+++ b/crates/core/src/control/membership/watch.rs
@@ -72,7 +72,7 @@
     }
 
     /// Restarts all silence periods now and withholds suspicions.
-    pub(super) fn resumed(&mut self, now: Instant) {
+    pub(super) fn restart_silence_periods(&mut self, now: Instant) {
         for since in self.probed.values_mut() {
             *since = now;
         }
--- a/crates/core/tests/fleet/membership.rs
+++ b/crates/core/tests/fleet/membership.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ladder_core::control::Settings;
-use ladder_core::control::membership::{Life, Membership, Standing};
+use ladder_core::control::membership::{FrameEffect, Membership, Standing};
 use ladder_core::schema::publication::{Instance, State, record::Body};
 use ladder_core::schema::wire::{Liveness, Rumour};
 use ladder_core::time::Instant;
@@ -34,9 +34,9 @@
         fixture
     }
 
-    fn receive_frame(&mut self, number: usize, incarnation: u64) -> Life {
+    fn receive_frame(&mut self, number: usize, incarnation: u64) -> FrameEffect {
         let frame = publish::frame(&format!("entry-{number}"), "trindade", incarnation);
-        self.membership.heard(self.now, &frame)
+        self.membership.receive_frame(self.now, &frame)
     }
 
     /// Advances time in ticks; at each tick a frame of every peer in `speaking` is received.
@@ -68,11 +68,11 @@
     ) {
         let (name, version) = (format!("entry-{number}"), (incarnation, refutation));
         let rumour = publish::rumour(&name, "trindade", version, liveness);
-        self.membership.rumour(self.now, &rumour);
+        self.membership.apply_update(self.now, &rumour);
     }
 
     fn own_update(&mut self) -> Option<Rumour> {
-        let rumours = self.membership.take_rumours(false);
+        let rumours = self.membership.take_gossip(false);
         rumours.into_iter().find(|rumour| rumour.name == OWN)
     }
 }
@@ -131,12 +131,12 @@
 fn received_frame_ends_the_withholding_of_suspicions() {
     let mut fixture = Fixture::new(6);
     fixture.advance(500, &[1, 2, 3, 4, 5, 6]);
-    let neighbours: Vec<String> =
-        fixture.membership.neighbours().map(|m| m.name.to_string()).collect();
+    let targets: Vec<String> =
+        fixture.membership.probe_targets().map(|m| m.name.to_string()).collect();
     let speaking: Vec<usize> =
-        (1..=6).filter(|at| !neighbours.contains(&format!("entry-{at}"))).collect();
+        (1..=6).filter(|at| !targets.contains(&format!("entry-{at}"))).collect();
     fixture.advance(1750, &speaking);
-    for name in &neighbours {
+    for name in &targets {
         let member = fixture.membership.get(name).expect("known");
         assert_eq!(member.liveness, Liveness::Suspect, "{name}");
     }
@@ -173,7 +173,7 @@
     fixture.advance(500, &[1, 2, 3]);
     fixture.membership.link_down(fixture.now, "entry-3");
     fixture.now = fixture.now + Duration::from_secs(30);
-    fixture.membership.resumed(fixture.now);
+    fixture.membership.restart_silence_periods(fixture.now);
     fixture.advance(500, &[]);
     assert_eq!(fixture.liveness_of([1, 2]), [Liveness::Alive; 2]);
     fixture.advance(250, &[1, 2]);
@@ -266,8 +266,11 @@
 fn late_frame_does_not_revive_a_dead_member() {
     let mut fixture = Fixture::new(3);
     fixture.receive_update(2, 1, 0, Liveness::Dead);
-    let life = fixture.receive_frame(2, 1);
-    assert!(matches!(life, Life::Doubted(_)), "the sender must be notified: {life:?}");
+    let effect = fixture.receive_frame(2, 1);
+    assert!(
+        matches!(effect, FrameEffect::MustRefute(_)),
+        "the sender must be notified: {effect:?}"
+    );
     assert_eq!(fixture.liveness(2), Liveness::Suspect);
     fixture.advance(1250, &[1, 3]);
     assert_eq!(fixture.liveness(2), Liveness::Dead);
@@ -282,9 +285,9 @@
 fn new_generation_replaces_the_old_one() {
     let mut fixture = Fixture::new(3);
     fixture.receive_update(2, 1, 0, Liveness::Dead);
-    assert_eq!(fixture.receive_frame(2, 2), Life::Joined);
+    assert_eq!(fixture.receive_frame(2, 2), FrameEffect::NewMember);
     assert_eq!(fixture.liveness(2), Liveness::Alive);
-    let Life::Outlived(rumour) = fixture.receive_frame(2, 1) else {
+    let FrameEffect::StaleGeneration(rumour) = fixture.receive_frame(2, 1) else {
         panic!("a frame of the old process was accepted");
     };
     assert_eq!((rumour.generation, rumour.liveness()), (2, Liveness::Alive));
@@ -322,7 +325,7 @@
         let mut fixture = Fixture::new(3);
         let received = publish::rumour(OWN, "trindade", (generation, 3), liveness);
         let description = format!("{generation} {liveness:?} at {address}");
-        fixture.membership.rumour(fixture.now, &Rumour { address, ..received });
+        fixture.membership.apply_update(fixture.now, &Rumour { address, ..received });
         let own = fixture.membership.own();
         assert_eq!((own.generation, own.refutation), becomes, "{description}");
         assert_eq!(own.liveness, Liveness::Alive, "{description}");
