--- a/crates/core/src/control/membership.rs
+++ b/crates/core/src/control/membership.rs
@@ -5,11 +5,11 @@
 //! instance probes only its [`PROBED_SUCCESSORS`] successors on a hash ring, so the cost does not
 //! grow with the fleet. Detected changes travel as gossip updates on frames that are sent anyway.
 
-mod hearsay;
+mod failure_detector;
+mod gossip;
+mod gossip_queue;
 mod member;
-mod queue;
 mod suspicion;
-mod watch;
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -78,8 +78,8 @@
     ///
     /// Invariant: does not contain this instance.
     members: BTreeMap<Arc<str>, Member>,
-    gossip: queue::GossipQueue,
-    detector: watch::FailureDetector,
+    gossip: gossip_queue::GossipQueue,
+    detector: failure_detector::FailureDetector,
     timing: Timing,
     /// Whether something that a view depends on changed since the last
     /// [`Membership::take_changed`].
@@ -100,13 +100,13 @@
         own.zone = Arc::clone(&settings.zone);
         own.millicores = settings.millicores;
         own.generation = settings.incarnation;
-        let mut gossip = queue::GossipQueue::default();
+        let mut gossip = gossip_queue::GossipQueue::default();
         gossip.push(&own.name);
         Self {
             own,
             members: BTreeMap::new(),
             gossip,
-            detector: watch::FailureDetector::new(now),
+            detector: failure_detector::FailureDetector::new(now),
             timing: settings.timing,
             changed: true,
             probe_ring_stale: true,
@@ -314,8 +314,8 @@
         }
     }
 
-    fn gossip_scope(&self) -> queue::GossipScope {
-        queue::GossipScope { fleet: self.size(), zone: self.zone_peers + 1 }
+    fn gossip_scope(&self) -> gossip_queue::GossipScope {
+        gossip_queue::GossipScope { fleet: self.size(), zone: self.zone_peers + 1 }
     }
 
     /// Whether `zone` differs from this instance's zone.
@@ -327,7 +327,7 @@
     pub fn not_alive_updates(&self) -> Vec<Rumour> {
         let is_not_alive = |member: &&Member| member.liveness != Liveness::Alive;
         let members = self.members.values().filter(is_not_alive);
-        members.take(queue::UPDATES_PER_FRAME).map(Member::to_gossip_update).collect()
+        members.take(gossip_queue::UPDATES_PER_FRAME).map(Member::to_gossip_update).collect()
     }
 
     /// Whether work may be given to the instance with this name. An instance is leaving if either
--- a/crates/core/src/control/membership/suspicion.rs
+++ b/crates/core/src/control/membership/suspicion.rs
@@ -4,7 +4,7 @@
 
 use ladder_schema::wire::Liveness;
 
-use super::watch::LinkFault;
+use super::failure_detector::LinkFault;
 use super::{Evidence, Member, Membership};
 use crate::time::Instant;
 
