--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -9,6 +9,7 @@
 //! - [`quarantine`]: requests under which server processes crash.
 
 pub mod belief;
+mod broadcast;
 pub mod event;
 pub mod hash;
 mod machine;
@@ -18,7 +19,6 @@
 pub mod quarantine;
 pub mod reader;
 pub mod settings;
-mod spread;
 pub mod store;
 pub mod withdrawal;
 
--- a/crates/core/src/control/spread.rs
+++ b/crates/core/src/control/broadcast.rs
@@ -1,4 +1,4 @@
-//! Splits publication news into frames of bounded size.
+//! Splits changes of the publication into frames of bounded size.
 
 use ladder_schema::bounds::PROTOCOL;
 use ladder_schema::publication::Record;
@@ -13,45 +13,49 @@
 
 /// Records and departures that a peer may not know yet.
 #[derive(Clone, Debug, Default)]
-pub(super) struct News {
+pub(super) struct PendingChanges {
     /// Published records in force.
     pub records: Vec<Record>,
     /// Servers that announced that they are leaving.
     pub departures: Vec<Departure>,
 }
 
-impl News {
-    /// Whether the news contains no records and no departures.
+impl PendingChanges {
+    /// Whether the changes contain no records and no departures.
     pub(super) const fn is_empty(&self) -> bool {
         self.records.is_empty() && self.departures.is_empty()
     }
 
-    /// Splits the news into parts that each fit into a frame.
-    pub(super) fn parts(&self) -> Vec<Self> {
-        let mut parts = vec![Self::default()];
-        let mut part_bytes = 0;
+    /// Splits the changes into chunks that each fit into a frame.
+    pub(super) fn to_chunks(&self) -> Vec<Self> {
+        let mut chunks = vec![Self::default()];
+        let mut chunk_bytes = 0;
         for record in &self.records {
-            part_bytes += record.encoded_len();
-            if part_bytes > MAX_RECORD_BYTES_PER_FRAME
-                && parts.last().is_some_and(|part| !part.is_empty())
+            chunk_bytes += record.encoded_len();
+            if chunk_bytes > MAX_RECORD_BYTES_PER_FRAME
+                && chunks.last().is_some_and(|chunk| !chunk.is_empty())
             {
-                parts.push(Self::default());
-                part_bytes = record.encoded_len();
+                chunks.push(Self::default());
+                chunk_bytes = record.encoded_len();
             }
-            parts.iter_mut().rev().take(1).for_each(|part| part.records.push(record.clone()));
+            chunks.iter_mut().rev().take(1).for_each(|chunk| chunk.records.push(record.clone()));
         }
         for departure in &self.departures {
-            part_bytes += departure.encoded_len();
-            if part_bytes > MAX_RECORD_BYTES_PER_FRAME {
-                parts.push(Self::default());
-                part_bytes = departure.encoded_len();
+            chunk_bytes += departure.encoded_len();
+            if chunk_bytes > MAX_RECORD_BYTES_PER_FRAME {
+                chunks.push(Self::default());
+                chunk_bytes = departure.encoded_len();
             }
-            parts.iter_mut().rev().take(1).for_each(|part| part.departures.push(departure.clone()));
+            chunks
+                .iter_mut()
+                .rev()
+                .take(1)
+                .for_each(|chunk| chunk.departures.push(departure.clone()));
         }
-        parts
+        chunks
     }
 
-    /// Puts the news into a frame. Records are sent before departures, because a receiver drops
+    /// Puts the changes into a frame. Records are sent before departures, because a receiver drops
     /// the departure of a server that it does not know.
     pub(super) fn into_frame(self, frame: Frame) -> Frame {
         Frame { records: self.records, departures: self.departures, ..frame }
@@ -59,7 +63,7 @@
 }
 
 /// Completes a frame with this instance as its sender.
-pub(super) fn signed(settings: &Settings, generation: u64, frame: Frame) -> Frame {
+pub(super) fn with_sender(settings: &Settings, generation: u64, frame: Frame) -> Frame {
     Frame {
         protocol: PROTOCOL,
         fleet: settings.fleet.to_string(),
--- a/crates/core/src/control/machine/exchange.rs
+++ b/crates/core/src/control/machine/exchange.rs
@@ -11,8 +11,8 @@
 };
 use crate::control::Action;
 use crate::control::belief::Belief;
+use crate::control::broadcast::{self, PendingChanges};
 use crate::control::membership::{FrameEffect, Member};
-use crate::control::spread::{self, News};
 use crate::time::Instant;
 
 /// Address of a peer, and whether the peer is in another zone.
@@ -171,8 +171,8 @@
         out: &mut Vec<Action>,
     ) {
         let records = records.iter().map(|record| Record::clone(record)).collect();
-        let changes = News { records, departures };
-        for chunk in changes.parts() {
+        let changes = PendingChanges { records, departures };
+        for chunk in changes.to_chunks() {
             send(&address.into(), chunk.into_frame(self.own_frame()), out);
         }
     }
@@ -194,7 +194,7 @@
             || reply.digest.is_some();
         if has_content && !address.is_empty() {
             reply.rumours.extend(self.membership.take_gossip(in_other_zone));
-            send(&address.into(), self.signed(reply), out);
+            send(&address.into(), self.with_sender(reply), out);
         }
     }
 
@@ -290,14 +290,14 @@
     pub(super) fn broadcast(
         &mut self,
         now: Instant,
-        changes: &News,
+        changes: &PendingChanges,
         except_address: &str,
         out: &mut Vec<Action>,
     ) {
         if changes.is_empty() {
             return;
         }
-        let mut chunks = changes.parts();
+        let mut chunks = changes.to_chunks();
         let fits_one_frame = chunks.len() == 1;
         let mut peers = self.random_near_peers(BROADCAST_FANOUT + 1);
         peers.retain(|peer| *peer.address != *except_address);
@@ -342,11 +342,11 @@
     }
 
     pub(super) fn own_frame(&self) -> Frame {
-        self.signed(Frame::default())
+        self.with_sender(Frame::default())
     }
 
-    fn signed(&self, frame: Frame) -> Frame {
-        spread::signed(&self.settings, self.membership.own().generation, frame)
+    fn with_sender(&self, frame: Frame) -> Frame {
+        broadcast::with_sender(&self.settings, self.membership.own().generation, frame)
     }
 }
 
--- a/crates/core/src/control/machine/records.rs
+++ b/crates/core/src/control/machine/records.rs
@@ -11,7 +11,7 @@
 use crate::collections::Set;
 use crate::control::Action;
 use crate::control::belief::Belief;
-use crate::control::spread::News;
+use crate::control::broadcast::PendingChanges;
 use crate::control::store::{Key, Outcome};
 use crate::control::withdrawal;
 use crate::count::{self, Count};
@@ -64,7 +64,7 @@
     }
 
     /// Logs the records that came into force, and the peer that sent them, if any.
-    pub(super) fn log_records(&self, changes: &News, from: &str, out: &mut Vec<Action>) {
+    pub(super) fn log_records(&self, changes: &PendingChanges, from: &str, out: &mut Vec<Action>) {
         let Some(newest) = changes.records.iter().map(|record| record.revision).max() else {
             return;
         };
@@ -150,8 +150,8 @@
         now: Instant,
         records: &[Record],
         out: &mut Vec<Action>,
-    ) -> News {
-        let mut changes = News::default();
+    ) -> PendingChanges {
+        let mut changes = PendingChanges::default();
         let mut instances_changed = false;
         for record in records {
             self.withdrawals.drop_superseded(&Key::of(record), record.revision);
@@ -194,8 +194,8 @@
         self.broadcast(now, &changes, "", out);
     }
 
-    pub(super) fn apply_departures(&mut self, departures: Vec<Departure>) -> News {
-        let mut changes = News::default();
+    pub(super) fn apply_departures(&mut self, departures: Vec<Departure>) -> PendingChanges {
+        let mut changes = PendingChanges::default();
         for departure in departures {
             if self.store.mark_leaving(&departure.server, departure.incarnation) {
                 changes.departures.push(departure);
--- a/crates/core/tests/fleet/concert.rs
+++ b/crates/core/tests/fleet/concert.rs
@@ -1,5 +1,5 @@
-//! Simulated fleets of many control machines: spread of changes, and failures of instances, links
-//! and the platform.
+//! Simulated fleets of many control machines: propagation of changes, and failures of instances,
+//! links and the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/core/tests/fleet/silence.rs
+++ b/crates/core/tests/fleet/silence.rs
@@ -25,9 +25,9 @@
 /// Guards against readers that notice too late that the platform's answers were lost: callers were
 /// refused with 404 on a route that had been in force for 3 s by the platform's acknowledgement.
 /// The platform had answered no reader for 6 s. After its first failed read, each reader had
-/// started another read that waits up to 4 s for news, and that answer was lost too. Until this
-/// wait and one more second had passed, no instance read from the platform, although it had been
-/// back for 4 s.
+/// started another read that waits up to 4 s for new records, and that answer was lost too. Until
+/// this wait and one more second had passed, no instance read from the platform, although it had
+/// been back for 4 s.
 ///
 /// Each case runs with the loss beginning at different moments of a reader's wait, in fleets of
 /// readers only and in fleets with further instances that can read instead of the readers.
@@ -67,8 +67,8 @@
 }
 
 /// Guards against a platform that refuses all of its readers but serves the other instances. These
-/// received frames from peers without news and read nothing themselves, so a change was in force
-/// nowhere until the platform accepted its readers again.
+/// received frames from peers without new records and read nothing themselves, so a change was in
+/// force nowhere until the platform accepted its readers again.
 #[test]
 fn other_instances_read_when_the_platform_refuses_all_readers() {
     for phase in 0..8 {
