--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -164,27 +164,27 @@
             }
             Event::Crashed { incarnation, at, requests } => {
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.crashed(now, incarnation, at, &requests)
+                    quarantine.record_crash(now, incarnation, at, &requests)
                 });
             }
             Event::Refuted(incarnation) => {
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.refuted(now, &incarnation)
+                    quarantine.record_refutation(now, &incarnation)
                 });
             }
             Event::Cleared(request) => {
                 let cause = Cause::Answer;
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.cleared(now, request, cause)
+                    quarantine.clear(now, request, cause)
                 });
             }
             Event::Released(request) => {
                 let cause = Cause::Operator;
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.cleared(now, request, cause)
+                    quarantine.clear(now, request, cause)
                 });
             }
-            Event::Asked(request) => self.quarantine.asked(now, request),
+            Event::Asked(request) => self.quarantine.renew(now, request),
             Event::Seeds(seeds) => self.settings.seeds = seeds,
             Event::Paused(_) => self.handle_pause(now, out),
             Event::Drain => self.drain(now, out),
@@ -427,7 +427,7 @@
             })
         }));
         let mut frame = self.own_frame();
-        self.quarantine.write(now, &mut frame);
+        self.quarantine.write_to_frame(now, &mut frame);
         for peer in self.random_peers(BROADCAST_FANOUT) {
             peer.send(frame.clone(), out);
         }
--- a/crates/core/src/control/machine/exchange.rs
+++ b/crates/core/src/control/machine/exchange.rs
@@ -69,7 +69,7 @@
                 if !reports_quarantine {
                     reply.digest.get_or_insert_with(|| self.total_digest());
                 }
-                self.quarantine.write(now, &mut reply);
+                self.quarantine.write_to_frame(now, &mut reply);
             }
             self.answer_digest(now, &frame.address, digest, &mut reply, out);
         }
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -153,7 +153,7 @@
     }
 
     /// Records that a server crashed while these requests were open there.
-    pub(super) fn crashed(
+    pub(super) fn record_crash(
         &mut self,
         now: Instant,
         incarnation: Incarnation,
@@ -165,7 +165,11 @@
     }
 
     /// Marks the crash of an incarnation as refuted, because the incarnation is still running.
-    pub(super) fn refuted(&mut self, now: Instant, incarnation: &Incarnation) -> Vec<Change> {
+    pub(super) fn record_refutation(
+        &mut self,
+        now: Instant,
+        incarnation: &Incarnation,
+    ) -> Vec<Change> {
         if let Some(crash) = self.crashes.get_mut(incarnation) {
             crash.refuted = true;
         }
@@ -173,7 +177,7 @@
     }
 
     /// Clears a request that a server answered or that an operator releases.
-    pub(super) fn cleared(
+    pub(super) fn clear(
         &mut self,
         now: Instant,
         request: Fingerprint,
@@ -191,7 +195,7 @@
     }
 
     /// Renews the entry of a quarantined request that a caller sent again.
-    pub(super) fn asked(&mut self, now: Instant, request: Fingerprint) {
+    pub(super) fn renew(&mut self, now: Instant, request: Fingerprint) {
         let entry = self.entries.get_mut(&request);
         if let Some(entry) = entry.filter(|entry| entry.standing == Standing::Quarantined) {
             entry.seen = now;
@@ -436,7 +440,7 @@
     }
 
     /// Writes all crashes and quarantine entries into a frame.
-    pub(super) fn write(&self, now: Instant, frame: &mut Frame) {
+    pub(super) fn write_to_frame(&self, now: Instant, frame: &mut Frame) {
         let crashes = self.crashes.iter().map(|(incarnation, crash)| wire::Crash {
             server: incarnation.server.to_string(),
             incarnation: incarnation.number,
--- a/crates/core/tests/fleet/quarantine.rs
+++ b/crates/core/tests/fleet/quarantine.rs
@@ -36,7 +36,7 @@
     Incarnation { server: format!("docks-{number}").into(), number: 1 }
 }
 
-fn crashed(number: u64, requests: &[Fingerprint]) -> Event {
+fn crash_event(number: u64, requests: &[Fingerprint]) -> Event {
     Event::Crashed {
         incarnation: incarnation(number),
         at: Instant::default(),
@@ -66,7 +66,7 @@
 /// Reports three crashes under the poison request, each to the instance numbered in `observers`.
 fn crash_three_servers(fleet: &mut Fleet, observers: [usize; 3]) {
     for (number, observer) in (0..).zip(observers) {
-        fleet.give(&name(observer), crashed(number, &[POISON]));
+        fleet.give(&name(observer), crash_event(number, &[POISON]));
     }
 }
 
@@ -125,11 +125,11 @@
 }
 
 fn crashes_alone(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
-    range.map(|number| crashed(number, &[POISON]))
+    range.map(|number| crash_event(number, &[POISON]))
 }
 
 fn crashes_with_bystander(range: std::ops::Range<u64>) -> impl Iterator<Item = Event> {
-    range.map(|number| crashed(number, &[POISON, BYSTANDER]))
+    range.map(|number| crash_event(number, &[POISON, BYSTANDER]))
 }
 
 fn case(name: &'static str, events: impl IntoIterator<Item = Event>, poison_refused: bool) -> Case {
@@ -218,7 +218,7 @@
     for request in 0..2 * MAX_REQUESTS as u64 {
         for number in 0..3 {
             let requests = [Fingerprint(u128::from(request) + 10)];
-            fleet.give(&name(0), crashed(request * 3 + number, &requests));
+            fleet.give(&name(0), crash_event(request * 3 + number, &requests));
         }
         fleet.run(ms(5));
     }
