--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -12,7 +12,7 @@
 use super::belief::Belief;
 use super::hash::{self, Random};
 use super::membership::{Member, Membership, Standing};
-use super::project::{Projection, Source, Standings};
+use super::project::{Projection, Standings, ViewInputs};
 use super::quarantine::{Cause, Change, Entry, Quarantine};
 use super::reader::{self, Reader, ReaderRank};
 use super::settings::{Listing, Settings};
@@ -320,7 +320,7 @@
         if members_changed {
             self.log_member_changes(&standings, out);
         }
-        let source = Source {
+        let inputs = ViewInputs {
             standings,
             quarantine: self.quarantine.view(),
             store: &self.store,
@@ -328,13 +328,14 @@
             settings: &self.settings,
             now,
         };
-        if let Some(view) = self.projection.refresh(&source, changes, ready) {
+        if let Some(view) = self.projection.refresh(&inputs, changes, ready) {
             out.push(Action::View(view));
         }
         let next_growth = self.projection.next_growth(&self.settings);
         let next_settled = self.membership.next_settled(now);
-        let next_order = self.projection.next_order(&self.settings);
-        self.next_view_at = [next_growth, next_order, next_settled].into_iter().flatten().min();
+        let next_order_change = self.projection.next_order_change(&self.settings);
+        self.next_view_at =
+            [next_growth, next_order_change, next_settled].into_iter().flatten().min();
     }
 
     /// Logs the instances whose standing differs from the last view.
@@ -364,9 +365,9 @@
     /// The current view, rebuilt in full from the records and from the state that depends on
     /// earlier events. Except for generation and keys, it equals [`Machine::view`], which is
     /// updated incrementally.
-    pub fn rebuilt(&self, now: Instant) -> View {
-        let store = self.store.rebuilt();
-        let source = Source {
+    pub fn rebuilt_view(&self, now: Instant) -> View {
+        let store = self.store.rebuilt_store();
+        let inputs = ViewInputs {
             standings: self.standings(now, true),
             quarantine: self.quarantine.view(),
             store: &store,
@@ -374,7 +375,7 @@
             settings: &self.settings,
             now,
         };
-        self.projection.whole(&source, self.view().ready)
+        self.projection.build_whole(&inputs, self.view().ready)
     }
 
     fn can_become_ready(&self, now: Instant) -> bool {
--- a/crates/core/src/control/machine/records.rs
+++ b/crates/core/src/control/machine/records.rs
@@ -123,7 +123,8 @@
         records: Vec<Record>,
         out: &mut Vec<Action>,
     ) -> Vec<Record> {
-        let live = self.store.servers().filter(|server| !self.store.departed(server)).count();
+        let live =
+            self.store.servers().filter(|server| !self.store.is_marked_leaving(server)).count();
         let withdraws_live =
             |record: &Record| is_tombstone(record) && self.is_live(&Key::of(record));
         let count = records.iter().filter(|record| withdraws_live(record)).count();
@@ -141,7 +142,8 @@
     /// Whether the key belongs to a published server that no source has reported as leaving.
     fn is_live(&self, key: &Key) -> bool {
         let server = self.store.server(&key.name);
-        key.kind == Kind::Server && server.is_some_and(|server| !self.store.departed(server))
+        key.kind == Kind::Server
+            && server.is_some_and(|server| !self.store.is_marked_leaving(server))
     }
 
     /// Applies records and returns those that changed the store.
--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -3,7 +3,7 @@
 mod cache;
 mod grants;
 mod neighbours;
-mod ranks;
+mod rankings;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Projection {
     view: Arc<View>,
-    ranks: ranks::RankingCache,
+    rankings: rankings::RankingCache,
     grants: grants::Grants,
     cache: cache::IndexCache,
     /// Standings that the last view was built from.
@@ -45,7 +45,7 @@
 }
 
 /// Inputs from which a view is built.
-pub(super) struct Source<'a> {
+pub(super) struct ViewInputs<'a> {
     /// Published records in force.
     pub(super) store: &'a Store,
     /// The members and their liveness.
@@ -60,7 +60,7 @@
     pub(super) now: Instant,
 }
 
-impl Source<'_> {
+impl ViewInputs<'_> {
     fn standing(&self, name: &str) -> Standing {
         self.standings.get(name).copied().unwrap_or(Standing::Gone)
     }
@@ -94,40 +94,40 @@
     }
 
     /// When the candidate order of some service changes next because an older list expires.
-    pub(super) fn next_order(&self, settings: &Settings) -> Option<Instant> {
-        self.ranks.next_expiry(ranking_period(settings))
+    pub(super) fn next_order_change(&self, settings: &Settings) -> Option<Instant> {
+        self.rankings.next_expiry(ranking_period(settings))
     }
 
     /// Updates the view and returns it if it differs from the last one.
     ///
     /// Only services that `changes` or the passing of time can affect are built. Building all of
     /// tens of thousands of services at each change would take a fifth of a core. Tests compare
-    /// the result with [`Projection::whole`] to show that no affected service is missed.
+    /// the result with [`Projection::build_whole`] to show that no affected service is missed.
     pub(super) fn refresh(
         &mut self,
-        source: &Source<'_>,
+        inputs: &ViewInputs<'_>,
         changes: Changes,
         ready: bool,
     ) -> Option<Arc<View>> {
         let indexes = changes.indexes.then(|| {
-            self.cache.refresh(source.store);
+            self.cache.refresh(inputs.store);
             self.cache.index_lists()
         });
-        let routing = changes.routing.then(|| source.store.routing().map(Table::new).map(Arc::new));
+        let routing = changes.routing.then(|| inputs.store.routing().map(Table::new).map(Arc::new));
         let sweep_changes =
-            if changes.routing { self.refresh_sweep_services(source) } else { Vec::new() };
-        let mut to_build = self.services_to_build(source, changes);
+            if changes.routing { self.refresh_sweep_services(inputs) } else { Vec::new() };
+        let mut to_build = self.services_to_build(inputs, changes);
         to_build.extend(sweep_changes);
-        let built = self.build(source, &to_build);
-        let revision = source.store.revision();
+        let built = self.build(inputs, &to_build);
+        let revision = inputs.store.revision();
         let old = &self.view;
         let indexes = indexes.filter(|lists| *lists != old.indexes);
         let routing = routing.filter(|routing| *routing != old.routing);
         // The list of neighbours is also rebuilt if no standing has changed: an instance may
         // return in another zone.
-        let neighbours = Some(neighbours::of(source)).filter(|list| **list != *old.neighbours);
+        let neighbours = Some(neighbours::list(inputs)).filter(|list| **list != *old.neighbours);
         let lists_unchanged = indexes.is_none() && routing.is_none() && neighbours.is_none();
-        let quarantine_unchanged = *source.quarantine == old.quarantine;
+        let quarantine_unchanged = *inputs.quarantine == old.quarantine;
         let is_unchanged = built.is_empty() && lists_unchanged && quarantine_unchanged;
         if is_unchanged && old.ready == ready && old.revision == revision {
             return None;
@@ -139,8 +139,8 @@
         view.indexes = indexes.unwrap_or(view.indexes);
         view.routing = routing.unwrap_or(view.routing);
         view.neighbours = neighbours.unwrap_or(view.neighbours);
-        view.quarantine = Arc::clone(source.quarantine);
-        view.regions = Arc::clone(&source.settings.regions);
+        view.quarantine = Arc::clone(inputs.quarantine);
+        view.regions = Arc::clone(&inputs.settings.regions);
         for (name, service) in built {
             match service {
                 Some(service) => drop(view.insert(service)),
@@ -153,37 +153,37 @@
 
     /// Builds the whole view from the same history of rankings and grants, without the other state
     /// that [`Projection::refresh`] keeps between calls.
-    pub(super) fn whole(&self, source: &Source<'_>, ready: bool) -> View {
-        let mut ranks = self.ranks.clone();
-        ranks.invalidate();
-        let mut new = Self { ranks, grants: self.grants.clone(), ..Self::default() };
+    pub(super) fn build_whole(&self, inputs: &ViewInputs<'_>, ready: bool) -> View {
+        let mut rankings = self.rankings.clone();
+        rankings.invalidate();
+        let mut new = Self { rankings, grants: self.grants.clone(), ..Self::default() };
         let mut changes =
             Changes { indexes: true, instances: true, routing: true, ..Changes::default() };
-        let names = source.store.entries().map(|entry| entry.service.as_str());
+        let names = inputs.store.entries().map(|entry| entry.service.as_str());
         changes.services = names.map(Arc::from).collect();
-        new.refresh(source, changes, ready);
+        new.refresh(inputs, changes, ready);
         View::clone(&new.view)
     }
 
     /// Names of the services that must be built because they may have changed.
-    fn services_to_build(&mut self, source: &Source<'_>, changes: Changes) -> Set<Arc<str>> {
+    fn services_to_build(&mut self, inputs: &ViewInputs<'_>, changes: Changes) -> Set<Arc<str>> {
         let mut to_build = changes.services;
         if changes.instances {
-            to_build.extend(self.ranks.refresh(source.store.instances()));
+            to_build.extend(self.rankings.refresh(inputs.store.instances()));
         }
         if changes.evacuations {
             to_build.extend(self.view.service_keys.keys().cloned());
         }
-        let settings = source.settings;
-        to_build.extend(self.ranks.due(source.now, ranking_period(settings)).cloned());
-        for server in self.grants.due(source.now, settings.timing.grace) {
-            let server = source.store.server(server);
+        let settings = inputs.settings;
+        to_build.extend(self.rankings.due(inputs.now, ranking_period(settings)).cloned());
+        for server in self.grants.due(inputs.now, settings.timing.grace) {
+            let server = inputs.store.server(server);
             to_build.extend(server.map(|server| server.service.as_str().into()));
         }
-        let changed_standings = self.refresh_standings(source);
+        let changed_standings = self.refresh_standings(inputs);
         if settings.placement == Placement::Direct {
             let counts_changed =
-                settings.listing == Listing::Observed && self.refresh_zone_counts(source);
+                settings.listing == Listing::Observed && self.refresh_zone_counts(inputs);
             let affects_all =
                 changes.instances || changed_standings.contains(&settings.name) || counts_changed;
             let all_services = self.view.service_keys.keys().filter(|_| affects_all);
@@ -198,8 +198,8 @@
 
     /// Updates the sets of services that are parts of sweeps and of those that are branches of
     /// routes. Returns the services that entered or left one of the sets.
-    fn refresh_sweep_services(&mut self, source: &Source<'_>) -> Vec<Arc<str>> {
-        let routes = source.store.routing().into_iter().flat_map(|routing| &routing.routes);
+    fn refresh_sweep_services(&mut self, inputs: &ViewInputs<'_>) -> Vec<Arc<str>> {
+        let routes = inputs.store.routing().into_iter().flat_map(|routing| &routing.routes);
         let sweep_services: Set<String> =
             routes.clone().flat_map(|route| &route.parts).cloned().collect();
         let branches = routes.flat_map(|route| &route.branches);
@@ -214,9 +214,9 @@
 
     /// Counts the instances of each zone. Returns whether the counts differ from those of the last
     /// view.
-    fn refresh_zone_counts(&mut self, source: &Source<'_>) -> bool {
+    fn refresh_zone_counts(&mut self, inputs: &ViewInputs<'_>) -> bool {
         let mut instances_per_zone: Map<Arc<str>, usize> = Map::default();
-        for member in source.membership.members().chain([source.membership.own()]) {
+        for member in inputs.membership.members().chain([inputs.membership.own()]) {
             *instances_per_zone.entry(Arc::clone(&member.zone)).or_default() += 1;
         }
         let differs = instances_per_zone != self.instances_per_zone;
@@ -226,19 +226,19 @@
 
     /// Takes over the new standings. Returns the instances whose standing differs from the last
     /// view.
-    fn refresh_standings(&mut self, source: &Source<'_>) -> Set<Arc<str>> {
-        if Arc::ptr_eq(&self.standings, &source.standings) {
+    fn refresh_standings(&mut self, inputs: &ViewInputs<'_>) -> Set<Arc<str>> {
+        if Arc::ptr_eq(&self.standings, &inputs.standings) {
             return Set::default();
         }
-        let old = std::mem::replace(&mut self.standings, Arc::clone(&source.standings));
-        let has_changed = |name: &&Arc<str>| old.get(*name) != source.standings.get(*name);
-        let names = old.keys().chain(source.standings.keys());
+        let old = std::mem::replace(&mut self.standings, Arc::clone(&inputs.standings));
+        let has_changed = |name: &&Arc<str>| old.get(*name) != inputs.standings.get(*name);
+        let names = old.keys().chain(inputs.standings.keys());
         names.filter(has_changed).cloned().collect()
     }
 
     /// Builds services. Returns those that differ from the last view, with `None` for those that
     /// no longer have a catalogue entry.
-    fn build(&mut self, source: &Source<'_>, to_build: &Set<Arc<str>>) -> Vec<BuiltService> {
+    fn build(&mut self, inputs: &ViewInputs<'_>, to_build: &Set<Arc<str>>) -> Vec<BuiltService> {
         let view = Arc::clone(&self.view);
         let known = to_build.iter().filter_map(|name| view.service(name));
         let servers = known.flat_map(|service| &service.servers);
@@ -248,7 +248,7 @@
         let mut built = Vec::new();
         for name in names {
             let old = view.service(name);
-            let new = self.build_service(source, name, old);
+            let new = self.build_service(inputs, name, old);
             if old != new.as_ref() {
                 built.push((Arc::clone(name), new));
             }
@@ -258,38 +258,38 @@
 
     fn build_service(
         &mut self,
-        source: &Source<'_>,
+        inputs: &ViewInputs<'_>,
         name: &Arc<str>,
         old: Option<&Service>,
     ) -> Option<Service> {
-        let Some(entry) = source.store.entry(name) else {
-            self.ranks.remove(name);
+        let Some(entry) = inputs.store.entry(name) else {
+            self.rankings.remove(name);
             return None;
         };
-        let rankings = self.ranks.versions(source.now, name, ranking_period(source.settings));
+        let rankings = self.rankings.versions(inputs.now, name, ranking_period(inputs.settings));
         let newest = rankings.newest();
         let limits = entry.limits.unwrap_or_default();
-        let targets: Vec<_> = source.store.servers_of(name).collect();
-        let sharer_count = self.sharer_count(source, name, &targets);
-        let instance_count = source.membership.size();
-        let scarce = self.needs_single_sender(source, name, &targets, &limits);
+        let targets: Vec<_> = inputs.store.servers_of_service(name).collect();
+        let sharer_count = self.sharer_count(inputs, name, &targets);
+        let instance_count = inputs.membership.size();
+        let scarce = self.needs_single_sender(inputs, name, &targets, &limits);
         let allows_idle_connections = |target: &&publication::Server| {
             placement::allows_one_connection_each(connection_limit(target, &limits), instance_count)
         };
-        let observed_listing = source.settings.listing == Listing::Observed;
+        let observed_listing = inputs.settings.listing == Listing::Observed;
         let mut servers = Vec::with_capacity(targets.len());
         for target in &targets {
             let limit = connection_limit(target, &limits);
             let share = newest.map_or(0, |ranked| match scarce {
                 true => placement::single_sender_share(limit),
-                false => self.own_share(source, ranked, limit, sharer_count),
+                false => self.own_share(inputs, ranked, limit, sharer_count),
             });
-            servers.push(self.build_server(source, target, share));
+            servers.push(self.build_server(inputs, target, share));
         }
         let widest_limit = targets.iter().map(|target| connection_limit(target, &limits)).max();
         let known_entry = old.filter(|old| *old.entry == *entry);
         Some(Service {
-            candidates: self.candidates(source, &rankings, widest_limit),
+            candidates: self.candidates(inputs, &rankings, widest_limit),
             sharers: u32::try_from(sharer_count).unwrap_or(u32::MAX),
             scarce,
             spare: !scarce && (!observed_listing || targets.iter().all(allows_idle_connections)),
@@ -307,14 +307,14 @@
     /// future index run for seconds before the index is in force.
     fn needs_single_sender(
         &self,
-        source: &Source<'_>,
+        inputs: &ViewInputs<'_>,
         service: &Arc<str>,
         targets: &[&publication::Server],
         limits: &catalogue::Limits,
     ) -> bool {
         let may_be_swept =
             self.sweep_services.contains(&**service) || !self.branch_services.contains(&**service);
-        let instance_count = source.membership.size();
+        let instance_count = inputs.membership.size();
         let is_short = |target: &&publication::Server| {
             placement::is_short_of_connections(
                 connection_limit(target, limits),
@@ -322,25 +322,25 @@
                 instance_count,
             )
         };
-        source.settings.near && may_be_swept && targets.iter().any(is_short)
+        inputs.settings.near && may_be_swept && targets.iter().any(is_short)
     }
 
     /// The connection share of this instance by the newest list. An instance that is not in the
     /// list has none, because the other instances do not count it.
     fn own_share(
         &self,
-        source: &Source<'_>,
-        ranked: &ranks::RankedCandidates,
+        inputs: &ViewInputs<'_>,
+        ranked: &rankings::RankedCandidates,
         limit: u32,
         sharers: usize,
     ) -> u32 {
-        let own = &source.settings.name;
-        if source.settings.listing == Listing::Observed {
+        let own = &inputs.settings.name;
+        if inputs.settings.listing == Listing::Observed {
             return placement::observed_share(limit, sharers);
         }
-        if source.settings.placement == Placement::Direct {
-            let listed = self.ranks.is_listed(own);
-            let share = placement::direct_share(limit, self.ranks.fleet_size());
+        if inputs.settings.placement == Placement::Direct {
+            let listed = self.rankings.is_listed(own);
+            let share = placement::direct_share(limit, self.rankings.fleet_size());
             return if listed { share } else { 0 };
         }
         let mut instances = ranked.instances.iter();
@@ -353,15 +353,15 @@
     /// instance takes one part. With one owner per service, the owner takes the whole.
     fn sharer_count(
         &self,
-        source: &Source<'_>,
+        inputs: &ViewInputs<'_>,
         service: &Arc<str>,
         targets: &[&publication::Server],
     ) -> usize {
-        let settings = source.settings;
+        let settings = inputs.settings;
         if settings.listing == Listing::Published {
             return 1;
         }
-        let instance_count = source.membership.size();
+        let instance_count = inputs.membership.size();
         if !settings.near || !self.sweep_services.contains(&**service) {
             return instance_count;
         }
@@ -377,24 +377,24 @@
 
     fn build_server(
         &mut self,
-        source: &Source<'_>,
+        inputs: &ViewInputs<'_>,
         target: &publication::Server,
         share: u32,
     ) -> Server {
         let name = target.name.as_str().into();
-        let grace = source.settings.timing.grace;
-        let first = match source.settings.listing {
+        let grace = inputs.settings.timing.grace;
+        let first = match inputs.settings.listing {
             Listing::Published => 0,
             Listing::Observed => INITIAL_SHARE,
         };
         Server {
-            share: self.grants.update(source.now, &name, share, (grace, first)),
+            share: self.grants.update(inputs.now, &name, share, (grace, first)),
             name,
             address: target.address.as_str().into(),
             zone: self.shared_zone_name(&target.zone),
             incarnation: target.incarnation,
-            leaving: source.store.departed(target),
-            evacuated: source.store.is_evacuated(&target.zone),
+            leaving: inputs.store.is_marked_leaving(target),
+            evacuated: inputs.store.is_evacuated(&target.zone),
             slots: target.slots,
             warmup: Duration::from_millis(target.warmup_ms.into()),
             holdings: target.holdings.clone(),
@@ -414,12 +414,12 @@
     /// connection limit, or all candidates if the service has no server.
     fn candidates(
         &self,
-        source: &Source<'_>,
-        rankings: &ranks::RankingVersions,
+        inputs: &ViewInputs<'_>,
+        rankings: &rankings::RankingVersions,
         widest_limit: Option<u32>,
     ) -> Vec<Candidate> {
-        if source.settings.placement == Placement::Direct {
-            return self.own_candidate(source);
+        if inputs.settings.placement == Placement::Direct {
+            return self.own_candidate(inputs);
         }
         let primaries = rankings.newest().map_or(0, |ranked| ranked.primaries);
         let role_shares = widest_limit.map(placement::divide_limit);
@@ -427,14 +427,14 @@
             role_shares.is_none_or(|share| share.for_position(primaries, position) > 0)
         };
         let usable = rankings.ordered_candidates(has_share);
-        let standings = usable.iter().map(|listed| (listed, source.standing(&listed.peer.name)));
+        let standings = usable.iter().map(|listed| (listed, inputs.standing(&listed.peer.name)));
         let standings: Vec<_> = standings.collect();
         let best = standings.iter().map(|&(_, standing)| standing).max();
         let candidate =
-            |&(listed, standing): &(&Arc<ranks::PublishedInstance>, Standing)| Candidate {
+            |&(listed, standing): &(&Arc<rankings::PublishedInstance>, Standing)| Candidate {
                 peer: listed.peer.clone(),
                 live: standing > Standing::Gone && Some(standing) == best,
-                local: listed.peer.name == source.settings.name,
+                local: listed.peer.name == inputs.settings.name,
             };
         standings.iter().map(candidate).collect()
     }
@@ -444,15 +444,15 @@
     /// The candidate is live even while this instance is leaving. No other instance takes over the
     /// work of this instance's own callers, and they keep sending until the load balancer has
     /// noticed: without a live candidate all their requests would be refused.
-    fn own_candidate(&self, source: &Source<'_>) -> Vec<Candidate> {
-        let own = source.membership.own();
+    fn own_candidate(&self, inputs: &ViewInputs<'_>) -> Vec<Candidate> {
+        let own = inputs.membership.own();
         let candidate = Candidate {
             peer: Peer { name: Arc::clone(&own.name), address: Arc::clone(&own.address) },
             live: true,
             local: true,
         };
-        let observed = source.settings.listing == Listing::Observed;
-        let listed = observed || self.ranks.is_listed(&own.name);
+        let observed = inputs.settings.listing == Listing::Observed;
+        let listed = observed || self.rankings.is_listed(&own.name);
         if listed { vec![candidate] } else { Vec::new() }
     }
 }
--- a/crates/core/src/control/project/neighbours.rs
+++ b/crates/core/src/control/project/neighbours.rs
@@ -2,19 +2,19 @@
 
 use std::sync::Arc;
 
-use super::Source;
+use super::ViewInputs;
 use crate::control::membership::{Member, Standing};
 use crate::control::settings::Placement;
 use crate::view::{Neighbour, Peer};
 
 /// The other instances that have settled. The list is empty under owner placement, where the
 /// candidates of each service are used instead.
-pub(super) fn of(source: &Source<'_>) -> Arc<[Neighbour]> {
-    if source.settings.placement != Placement::Direct {
+pub(super) fn list(inputs: &ViewInputs<'_>) -> Arc<[Neighbour]> {
+    if inputs.settings.placement != Placement::Direct {
         return Arc::default();
     }
-    let members = source.membership.members().filter(|member| {
-        source.standing(&member.name) == Standing::Settled && !member.address.is_empty()
+    let members = inputs.membership.members().filter(|member| {
+        inputs.standing(&member.name) == Standing::Settled && !member.address.is_empty()
     });
     let neighbour = |member: &Member| Neighbour {
         peer: Peer { name: Arc::clone(&member.name), address: Arc::clone(&member.address) },
--- a/crates/core/src/control/store.rs
+++ b/crates/core/src/control/store.rs
@@ -189,7 +189,7 @@
     }
 
     /// Builds a new store by applying the same records and departures one by one.
-    pub fn rebuilt(&self) -> Self {
+    pub fn rebuilt_store(&self) -> Self {
         let mut store = Self::default();
         for record in self.records.values() {
             store.apply(record);
@@ -252,7 +252,7 @@
     }
 
     /// Whether some source has reported this incarnation of the server as leaving.
-    pub fn departed(&self, server: &Server) -> bool {
+    pub fn is_marked_leaving(&self, server: &Server) -> bool {
         let known_incarnation = self.departures.get(server.name.as_str());
         known_incarnation.is_some_and(|&incarnation| incarnation >= server.incarnation)
     }
@@ -374,8 +374,8 @@
     }
 
     /// Servers in force of a service, in order of name.
-    pub fn servers_of(&self, service: &str) -> impl Iterator<Item = &Server> {
-        self.servers_by_service.of(service)
+    pub fn servers_of_service(&self, service: &str) -> impl Iterator<Item = &Server> {
+        self.servers_by_service.servers_of_service(service)
     }
 
     /// Catalogue entry in force of a service; its own record takes precedence over the entry of the
--- a/crates/core/src/control/store/changes.rs
+++ b/crates/core/src/control/store/changes.rs
@@ -33,7 +33,7 @@
 
 impl ServersByService {
     /// Servers of a service, in order of name.
-    pub(super) fn of(&self, service: &str) -> impl Iterator<Item = &Server> {
+    pub(super) fn servers_of_service(&self, service: &str) -> impl Iterator<Item = &Server> {
         let records = self.servers.get(service).map_or(&[][..], Vec::as_slice);
         records.iter().filter_map(|record| server(record))
     }
--- a/crates/core/tests/fleet/parts.rs
+++ b/crates/core/tests/fleet/parts.rs
@@ -120,7 +120,7 @@
 
     fn give(&mut self, event: Event) {
         self.machine.handle(self.now, event, &mut Vec::new());
-        let whole = self.machine.rebuilt(self.now);
+        let whole = self.machine.rebuilt_view(self.now);
         let view = self.machine.view();
         assert_eq!(by_name(view), by_name(&whole));
         assert_eq!(view.service_keys.len(), view.services.len());
--- a/crates/core/tests/fleet/store.rs
+++ b/crates/core/tests/fleet/store.rs
@@ -201,7 +201,7 @@
 fn leaving_state_lasts_until_a_new_incarnation() {
     let is_leaving = |store: &Store| {
         let server = store.server("gate-1-0").expect("published");
-        store.departed(server)
+        store.is_marked_leaving(server)
     };
     let published = |revision, incarnation, state| {
         record(revision, server("gate-1-0", "gate-1", incarnation, state))
