--- a/crates/core/src/control/hash.rs
+++ b/crates/core/src/control/hash.rs
@@ -17,9 +17,9 @@
 /// Hash of a list of byte strings. The lengths of the strings are hashed too, so `["ab", "c"]` and
 /// `["a", "bc"]` differ.
 pub fn of(parts: &[&[u8]]) -> u64 {
-    let end_state = parts.iter().fold(Prefix(GOLDEN_GAMMA), |state, part| {
-        let state = state.begin(part.len() as u64);
-        words(part).fold(state, Prefix::word)
+    let end_state = parts.iter().fold(PrefixHash(GOLDEN_GAMMA), |state, part| {
+        let state = state.with_length(part.len() as u64);
+        words(part).fold(state, PrefixHash::word)
     });
     mix(end_state.0)
 }
@@ -36,17 +36,17 @@
 /// Hash state after the first strings of a list; many lists with different last strings can
 /// continue it.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Prefix(u64);
+pub(super) struct PrefixHash(u64);
 
-impl Prefix {
+impl PrefixHash {
     /// Hash state of a list that begins with one string.
     pub(super) fn of(part: &[u8]) -> Self {
-        let state = Self(GOLDEN_GAMMA).begin(part.len() as u64);
+        let state = Self(GOLDEN_GAMMA).with_length(part.len() as u64);
         words(part).fold(state, Self::word)
     }
 
     /// Hash state after the length, in bytes, of the next string; the string's words must follow.
-    pub(super) const fn begin(self, length: u64) -> Self {
+    pub(super) const fn with_length(self, length: u64) -> Self {
         self.word(length)
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// Final hash of the list, given the words of its last string.
-    pub(super) fn end(self, words: &[u64]) -> u64 {
+    pub(super) fn finish(self, words: &[u64]) -> u64 {
         let state = words.iter().fold(self, |state, &word| state.word(word));
         mix(state.0)
     }
--- a/crates/core/src/control/placement/fleet.rs
+++ b/crates/core/src/control/placement/fleet.rs
@@ -4,7 +4,7 @@
 
 use super::{CANDIDATES, Instance, MAX_PRIMARIES, Ranking};
 use crate::collections::Map;
-use crate::control::hash::{self, Prefix};
+use crate::control::hash::{self, PrefixHash};
 
 /// Number of best-scored instances to keep while ranking; enough for all candidates even if the
 /// primaries are among them.
@@ -94,15 +94,15 @@
     fn best(&self, service: &str) -> (Vec<Scored>, Vec<Scored>) {
         let mut zones: Vec<Option<Scored>> = vec![None; self.zones];
         let mut best: Vec<Scored> = Vec::with_capacity(KEPT_INSTANCES + 1);
-        let prefix = Prefix::of(service.as_bytes());
-        let mut length_prefix = (0, prefix.begin(0));
+        let prefix = PrefixHash::of(service.as_bytes());
+        let mut length_prefix = (0, prefix.with_length(0));
         for (index, instance) in self.instances.iter().enumerate() {
             if length_prefix.0 != instance.length {
-                length_prefix = (instance.length, prefix.begin(instance.length));
+                length_prefix = (instance.length, prefix.with_length(instance.length));
             }
             let words = instance.word_range.0 as usize..instance.word_range.1 as usize;
             let new = Scored {
-                score: Reverse(length_prefix.1.end(&self.words[words])),
+                score: Reverse(length_prefix.1.finish(&self.words[words])),
                 name_rank: instance.name_rank,
                 index,
             };
