--- a/crates/core/tests/fleet/many.rs
+++ b/crates/core/tests/fleet/connection_limits.rs
@@ -13,9 +13,9 @@
 use ladder_core::time::Instant;
 use ladder_core::view::View;
 
-use crate::harness::{Fleet, Node};
-use crate::listing::ObservingInstance;
-use crate::publish;
+use crate::fixtures;
+use crate::harness::{Fleet, SimulatedInstance};
+use crate::observed_fleet::ObservingInstance;
 
 const ZONES: [&str; 5] = ["campanha", "sao-bento", "trindade", "boavista", "matosinhos"];
 /// Number of services of the sweep.
@@ -62,7 +62,7 @@
         attempts: 2,
         ..Route::default()
     };
-    let entries = services().map(|service| match publish::entry(&service, 100) {
+    let entries = services().map(|service| match fixtures::entry(&service, 100) {
         Body::Entry(entry) => entry,
         _ => unreachable!("an entry"),
     });
@@ -87,7 +87,7 @@
     let servers = services().enumerate().flat_map(|(at, service)| {
         (0..3).map(move |replica| {
             let name = format!("{service}-{replica}");
-            match publish::server(&name, &service, 1, State::Live) {
+            match fixtures::server(&name, &service, 1, State::Live) {
                 Body::Server(server) => {
                     let zone = zone(at + replica).to_owned();
                     Body::Server(Server { zone, connections: CONNECTION_LIMIT as u32, ..server })
@@ -116,7 +116,7 @@
 /// View of one of `instances` instances that know each other.
 fn view_of(own_number: usize, instances: usize, routed_services: RoutedServices) -> Arc<View> {
     let mut instance = ObservingInstance::with_name(&name(own_number), zone(own_number), true);
-    instance.receive_full_listing(publish::records(1, published_bodies(routed_services)));
+    instance.receive_full_listing(fixtures::records(1, published_bodies(routed_services)));
     for _ in 0..12 {
         for other_number in (0..instances).filter(|other_number| *other_number != own_number) {
             instance.receive_frame_from(&name(other_number), zone(other_number));
@@ -262,14 +262,14 @@
     let millicores = |at: usize| if at.is_multiple_of(4) { 500 } else { 120 };
     let mut fleet = Fleet::new();
     fleet.listing = Listing::Observed;
-    fleet.seeds = vec![publish::address(&name(0))];
-    fleet.publish([publish::record(1, published_bodies(RoutedServices::OneSweep).remove(0))]);
+    fleet.seeds = vec![fixtures::address(&name(0))];
+    fleet.publish([fixtures::record(1, published_bodies(RoutedServices::OneSweep).remove(0))]);
     for at in 0..24 {
         fleet.millicores = millicores(at);
         fleet.start(&name(at), zone(at));
     }
     fleet.run(Duration::from_secs(10));
-    let known_sizes = |node: &Node| -> BTreeMap<String, u32> {
+    let known_sizes = |node: &SimulatedInstance| -> BTreeMap<String, u32> {
         let neighbours = node.machine.view().neighbours.iter();
         neighbours.map(|other| (other.peer.name.to_string(), other.millicores)).collect()
     };
--- a/crates/core/tests/fleet/volume.rs
+++ b/crates/core/tests/fleet/cross_zone_traffic.rs
@@ -7,9 +7,9 @@
 use ladder_core::schema::publication::{Record, Route, Routing, State, record::Body};
 use prost::Message;
 
-use crate::concert::{self, all_ready};
-use crate::harness::{Fleet, Node};
-use crate::publish;
+use crate::fixtures;
+use crate::harness::{Fleet, SimulatedInstance};
+use crate::simulation::{self, all_ready};
 
 const ZONES: [&str; 5] = ["campanha", "sao-bento", "trindade", "boavista", "matosinhos"];
 const INSTANCE_COUNT: usize = 40;
@@ -17,7 +17,7 @@
 
 fn routes(version: u64) -> Body {
     let name = |at: usize| format!("gate-finder-{at}");
-    let entries = (0..SERVICE_COUNT).map(|at| match publish::entry(&name(at), 100) {
+    let entries = (0..SERVICE_COUNT).map(|at| match fixtures::entry(&name(at), 100) {
         Body::Entry(entry) => entry,
         _ => unreachable!("the fixture is an entry"),
     });
@@ -47,9 +47,9 @@
 fn servers(first: u64) -> Vec<Record> {
     let server = |at: usize| {
         let service = format!("gate-finder-{}", at / 2);
-        publish::server(&format!("{service}-{}", at % 2), &service, first, State::Live)
+        fixtures::server(&format!("{service}-{}", at % 2), &service, first, State::Live)
     };
-    publish::records(first, (0..2 * SERVICE_COUNT).map(server))
+    fixtures::records(first, (0..2 * SERVICE_COUNT).map(server))
 }
 
 fn started_fleet() -> Fleet {
@@ -57,13 +57,13 @@
     fleet.listing = Listing::Observed;
     fleet.sends_full_listing = true;
     fleet.publish(servers(10));
-    fleet.publish([publish::record(1000, routes(1))]);
-    fleet.seeds = (0..5).map(|at| publish::address(&concert::name(at))).collect();
+    fleet.publish([fixtures::record(1000, routes(1))]);
+    fleet.seeds = (0..5).map(|at| fixtures::address(&simulation::name(at))).collect();
     for at in 0..INSTANCE_COUNT {
-        fleet.start(&concert::name(at), ZONES[at % ZONES.len()]);
+        fleet.start(&simulation::name(at), ZONES[at % ZONES.len()]);
     }
 
-    fleet.until("ready", Duration::from_secs(10), all_ready);
+    fleet.run_until("ready", Duration::from_secs(10), all_ready);
     fleet
 }
 
@@ -90,7 +90,7 @@
     let start_bytes = fleet.cross_zone_bytes;
     let idle_bytes = cross_zone_bytes_during(&mut fleet, Duration::from_secs(10));
     let publication_bytes =
-        encoded_bytes(&servers(10)) + encoded_bytes(&[publish::record(1000, routes(1))]);
+        encoded_bytes(&servers(10)) + encoded_bytes(&[fixtures::record(1000, routes(1))]);
     let bytes_per_instance = start_bytes.saturating_sub(idle_bytes) / INSTANCE_COUNT;
     assert!(
         bytes_per_instance < publication_bytes,
@@ -106,7 +106,7 @@
     let mut fleet = started_fleet();
     fleet.run(Duration::from_secs(10));
     let idle_bytes = cross_zone_bytes_during(&mut fleet, Duration::from_secs(5));
-    let record = publish::record(2000, routes(2));
+    let record = fixtures::record(2000, routes(2));
     fleet.publish([record.clone()]);
     let change_bytes =
         cross_zone_bytes_during(&mut fleet, Duration::from_secs(5)).saturating_sub(idle_bytes);
@@ -122,17 +122,17 @@
     let mut fleet = started_fleet();
     fleet.run(Duration::from_secs(10));
     let zone_instances: Vec<String> =
-        (0..INSTANCE_COUNT).step_by(ZONES.len()).map(concert::name).collect();
-    fleet.refuse(&zone_instances);
+        (0..INSTANCE_COUNT).step_by(ZONES.len()).map(simulation::name).collect();
+    fleet.refuse_reads_of(&zone_instances);
     fleet.run(Duration::from_secs(2));
-    fleet.put(2000, routes(2));
-    fleet.until("routes in the zone that can't read", Duration::from_secs(3), |fleet| {
+    fleet.publish_body(2000, routes(2));
+    fleet.run_until("routes in the zone that can't read", Duration::from_secs(3), |fleet| {
         fleet.nodes.values().all(|node| route_version(node) == Some(2))
     });
 }
 
 /// Version of the routes in force at an instance.
-fn route_version(node: &Node) -> Option<u64> {
+fn route_version(node: &SimulatedInstance) -> Option<u64> {
     node.machine.records().find_map(|(_, record)| match &record.body {
         Some(Body::Routing(routing)) => Some(routing.version),
         _ => None,
--- a/crates/core/tests/fleet/evacuation.rs
+++ b/crates/core/tests/fleet/evacuation.rs
@@ -6,9 +6,9 @@
 use ladder_core::control::settings::Timing;
 use ladder_core::schema::publication::{Evacuation, Kind, Page, Record, record::Body};
 
-use crate::concert::{fleet_of, name, platform, zone};
-use crate::harness::{Fleet, Node};
-use crate::publish;
+use crate::fixtures;
+use crate::harness::{Fleet, SimulatedInstance};
+use crate::simulation::{name, platform_with, ready_fleet_with, zone};
 
 /// Maximum time after the platform acknowledges an evacuation until it must be in force at every
 /// instance.
@@ -25,12 +25,12 @@
 }
 
 fn withdrawal(zone: &str) -> Body {
-    publish::tombstone(Kind::Evacuation, zone)
+    fixtures::tombstone(Kind::Evacuation, zone)
 }
 
 /// Whether all servers in an instance's view are marked as evacuated. Either all of them are or
 /// none.
-fn all_servers_evacuated(node: &Node) -> bool {
+fn all_servers_evacuated(node: &SimulatedInstance) -> bool {
     let services = node.machine.view().services.values();
     let mut servers = services.flat_map(|service| &service.servers).peekable();
     assert!(servers.peek().is_some());
@@ -43,7 +43,7 @@
 
 fn settled_fleet(instances: usize) -> Fleet {
     let timing = Timing { contact: Duration::from_secs(4), ..Timing::default() };
-    fleet_of(instances, 4, timing)
+    ready_fleet_with(instances, 4, timing)
 }
 
 /// Guards against an evacuation that is unknown to some instances, or that continues after its
@@ -53,14 +53,14 @@
     for instances in [1, 9, 60] {
         let mut fleet = settled_fleet(instances);
         for revision in [1000, 2000] {
-            fleet.put(revision, evacuation("a zone that nobody knows"));
-            fleet.put(revision + 1, evacuation(ZONE));
-            fleet.until("the evacuation is in force", APPLY, |fleet| {
+            fleet.publish_body(revision, evacuation("a zone that nobody knows"));
+            fleet.publish_body(revision + 1, evacuation(ZONE));
+            fleet.run_until("the evacuation is in force", APPLY, |fleet| {
                 evacuation_is_everywhere(fleet, true)
             });
-            fleet.put(revision + 2, evacuation("trindade"));
-            fleet.put(revision + 3, withdrawal(ZONE));
-            fleet.until("its withdrawal is in force", APPLY, |fleet| {
+            fleet.publish_body(revision + 2, evacuation("trindade"));
+            fleet.publish_body(revision + 3, withdrawal(ZONE));
+            fleet.run_until("its withdrawal is in force", APPLY, |fleet| {
                 evacuation_is_everywhere(fleet, false)
             });
         }
@@ -77,34 +77,37 @@
 fn instances_refused_by_the_platform_learn_of_an_evacuation() {
     let mut fleet = settled_fleet(9);
     let refused: Vec<String> = (0..6).map(name).collect();
-    fleet.refuse(&refused);
-    fleet.put(1000, evacuation(ZONE));
-    fleet.until("the evacuation is in force", APPLY, |fleet| evacuation_is_everywhere(fleet, true));
-    fleet.put(1001, withdrawal(ZONE));
-    fleet
-        .until("its withdrawal is in force", APPLY, |fleet| evacuation_is_everywhere(fleet, false));
+    fleet.refuse_reads_of(&refused);
+    fleet.publish_body(1000, evacuation(ZONE));
+    fleet.run_until("the evacuation is in force", APPLY, |fleet| {
+        evacuation_is_everywhere(fleet, true)
+    });
+    fleet.publish_body(1001, withdrawal(ZONE));
+    fleet.run_until("its withdrawal is in force", APPLY, |fleet| {
+        evacuation_is_everywhere(fleet, false)
+    });
 }
 
 /// Guards against an instance that starts and serves before it knows the evacuation.
 #[test]
 fn starting_instance_knows_the_evacuation_before_it_serves() {
     for (platform_up, service_count) in [(true, 4), (false, 4), (false, 1600)] {
-        let mut fleet = platform(3, service_count);
+        let mut fleet = platform_with(3, service_count);
         (0..3).for_each(|at| fleet.start(&name(at), zone(at)));
         fleet.run(ms(5000));
-        fleet.put(10_000, evacuation(ZONE));
-        fleet.until("the evacuation is in force", APPLY, |fleet| {
+        fleet.publish_body(10_000, evacuation(ZONE));
+        fleet.run_until("the evacuation is in force", APPLY, |fleet| {
             evacuation_is_everywhere(fleet, true)
         });
         if !platform_up {
-            fleet.silence_platform();
+            fleet.stop_platform();
         }
         fleet.kill(&name(0), true);
-        fleet.seeds = vec![publish::address(&name(1))];
+        fleet.seeds = vec![fixtures::address(&name(1))];
         fleet.incarnation = 2;
         fleet.start(&name(0), zone(0));
         let ready = |fleet: &Fleet| fleet.nodes[&name(0)].machine.view().ready;
-        fleet.until("the restarted instance is ready", APPLY, ready);
+        fleet.run_until("the restarted instance is ready", APPLY, ready);
         fleet.run(ms(2000));
         let views = &fleet.nodes[&name(0)].views;
         for (at, view) in views.iter().filter(|(_, view)| view.ready) {
@@ -121,11 +124,11 @@
 /// current one.
 #[test]
 fn outdated_records_do_not_change_an_evacuation() {
-    let mut fleet = platform(1, 4);
+    let mut fleet = platform_with(1, 4);
     fleet.start(&name(0), zone(0));
     fleet.run(ms(5000));
     let page = |revision, body| {
-        let records = vec![publish::record(revision, body)];
+        let records = vec![fixtures::record(revision, body)];
         Event::Page(Page { head: revision, records, ..Page::default() })
     };
     for (revision, body, evacuated) in [
@@ -134,7 +137,7 @@
         (1003, withdrawal(ZONE), false),
         (1002, evacuation(ZONE), false),
     ] {
-        fleet.give(&name(0), page(revision, body));
+        fleet.handle_event(&name(0), page(revision, body));
         assert_eq!(evacuation_is_everywhere(&fleet, true), evacuated, "revision {revision}");
     }
 }
@@ -143,10 +146,10 @@
 /// only a newer full listing shows the withdrawal.
 #[test]
 fn full_listing_without_the_evacuation_withdraws_it() {
-    let mut fleet = platform(1, 4);
+    let mut fleet = platform_with(1, 4);
     fleet.start(&name(0), zone(0));
     fleet.run(ms(5000));
-    fleet.put(1000, evacuation(ZONE));
+    fleet.publish_body(1000, evacuation(ZONE));
     fleet.run(ms(1000));
     assert!(evacuation_is_everywhere(&fleet, true));
     let node = &fleet.nodes[&name(0)];
@@ -156,7 +159,7 @@
     for (head, evacuated) in [(999, true), (1001, false)] {
         let records = Vec::clone(&records);
         let page = Page { head, records, whole: true, ..Page::default() };
-        fleet.give(&name(0), Event::Page(page));
+        fleet.handle_event(&name(0), Event::Page(page));
         assert_eq!(
             evacuation_is_everywhere(&fleet, true),
             evacuated,
--- a/crates/core/tests/fleet/publish.rs
+++ b/crates/core/tests/fleet/fixtures.rs
@@ -88,7 +88,12 @@
 
 /// A gossip update: the liveness of an instance at a version, which is its generation and
 /// refutation.
-pub(crate) fn rumour(name: &str, zone: &str, version: (u64, u32), liveness: Liveness) -> Rumour {
+pub(crate) fn gossip_update(
+    name: &str,
+    zone: &str,
+    version: (u64, u32),
+    liveness: Liveness,
+) -> Rumour {
     Rumour {
         name: name.to_owned(),
         generation: version.0,
@@ -101,7 +106,7 @@
 }
 
 /// Keys and revisions of the records of a machine.
-pub(crate) fn known(machine: &Machine) -> Vec<(String, u64)> {
+pub(crate) fn known_revisions(machine: &Machine) -> Vec<(String, u64)> {
     let records = machine.records();
     records.map(|(key, record)| (key.to_string(), record.revision)).collect()
 }
--- a/crates/core/tests/fleet/harness.rs
+++ b/crates/core/tests/fleet/harness.rs
@@ -13,7 +13,7 @@
 use ladder_core::view::View;
 use prost::Message;
 
-use crate::{publish, session};
+use crate::{fixtures, session};
 
 const MESSAGE_DELAY: Duration = Duration::from_millis(1);
 
@@ -33,13 +33,13 @@
     }
 }
 
-pub(crate) struct Node {
+pub(crate) struct SimulatedInstance {
     pub machine: Machine,
     watch: Option<Watch>,
     paused: bool,
     inbox: Vec<Event>,
-    pub reads: usize,
-    pub sent: usize,
+    pub platform_reads: usize,
+    pub frames_sent: usize,
     zone: String,
     pub views: Vec<(Instant, Arc<View>)>,
 }
@@ -47,7 +47,7 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     pub now: Instant,
-    pub nodes: BTreeMap<String, Node>,
+    pub nodes: BTreeMap<String, SimulatedInstance>,
     event_queue: BTreeMap<(Instant, u64), (String, Event)>,
     sequence: u64,
     records: Vec<Record>,
@@ -55,7 +55,7 @@
     /// Whether the platform's answers to new reads are lost.
     answers_lost: bool,
     /// Names of the instances whose reads the platform refuses.
-    pub refused: BTreeSet<String>,
+    pub refused_readers: BTreeSet<String>,
     /// Time spans of the instances that are started from now on.
     pub timing: Timing,
     /// Where instances that are started from now on learn of each other.
@@ -67,9 +67,9 @@
     /// Number of bytes of the frames sent to another zone so far.
     pub cross_zone_bytes: usize,
     /// Names of the instances on one side of a network partition.
-    pub island: BTreeSet<String>,
+    pub partition_side: BTreeSet<String>,
     /// Names of the instances whose watches never get new records from the platform.
-    pub unreached: BTreeSet<String>,
+    pub stalled_watches: BTreeSet<String>,
     pub seeds: Vec<String>,
     pub incarnation: u64,
     steps_without_progress: usize,
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn start(&mut self, name: &str, zone: &str) {
-        let settings = Settings::builder(name, &publish::address(name))
+        let settings = Settings::builder(name, &fixtures::address(name))
             .zone(zone)
             .fleet("porto")
             .incarnation(self.incarnation)
@@ -98,20 +98,20 @@
                 Listing::Observed => Placement::Direct,
             })
             .seeds(self.seeds.iter().map(String::as_str))
-            .seed(publish::address(name).len() as u64 + self.sequence)
+            .seed(fixtures::address(name).len() as u64 + self.sequence)
             .build();
-        let node = Node {
+        let node = SimulatedInstance {
             machine: Machine::new(settings, self.now),
             watch: None,
             paused: false,
             inbox: Vec::new(),
-            reads: 0,
-            sent: 0,
+            platform_reads: 0,
+            frames_sent: 0,
             zone: zone.to_owned(),
             views: Vec::new(),
         };
         self.nodes.insert(name.to_owned(), node);
-        self.give(name, Event::Tick);
+        self.handle_event(name, Event::Tick);
     }
 
     /// Ends an instance's process; with `break_links`, the peers detect that their connections to
@@ -129,7 +129,7 @@
 
     pub(crate) fn resume(&mut self, name: &str, pause_length: Duration) {
         self.node(name).paused = false;
-        self.give(name, Event::Paused(pause_length));
+        self.handle_event(name, Event::Paused(pause_length));
         for event in std::mem::take(&mut self.node(name).inbox) {
             self.deliver(name, event);
         }
@@ -139,7 +139,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    pub(crate) fn node(&mut self, name: &str) -> &mut Node {
+    pub(crate) fn node(&mut self, name: &str) -> &mut SimulatedInstance {
         self.nodes.get_mut(name).expect("the instance is running")
     }
 
@@ -155,8 +155,8 @@
     }
 
     /// Makes the platform publish one record and answer waiting watches.
-    pub(crate) fn put(&mut self, revision: u64, body: Body) {
-        self.publish([publish::record(revision, body)]);
+    pub(crate) fn publish_body(&mut self, revision: u64, body: Body) {
+        self.publish([fixtures::record(revision, body)]);
     }
 
     /// The platform answers again, possibly from a replica that lacks all records above a revision.
@@ -166,7 +166,7 @@
     }
 
     /// The platform stops answering; open watches fail.
-    pub(crate) fn silence_platform(&mut self) {
+    pub(crate) fn stop_platform(&mut self) {
         self.platform_up = false;
         for name in self.names() {
             if self.node(&name).watch.take().is_some() {
@@ -175,8 +175,9 @@
         }
     }
 
-    /// Loses the answers to all open reads, and to all that start before [`Fleet::return_answers`].
-    pub(crate) fn lose_answers(&mut self) {
+    /// Loses the answers to all open reads, and to all that start before
+    /// [`Fleet::stop_losing_answers`].
+    pub(crate) fn start_losing_answers(&mut self) {
         self.answers_lost = true;
         for watch in self.nodes.values_mut().filter_map(|node| node.watch.as_mut()) {
             watch.lost = true;
@@ -184,13 +185,13 @@
     }
 
     /// The platform answers the reads that start from now on.
-    pub(crate) fn return_answers(&mut self) {
+    pub(crate) fn stop_losing_answers(&mut self) {
         self.answers_lost = false;
     }
 
     /// The platform refuses these instances and fails their open reads; it serves all others.
-    pub(crate) fn refuse(&mut self, names: &[String]) {
-        self.refused.extend(names.iter().cloned());
+    pub(crate) fn refuse_reads_of(&mut self, names: &[String]) {
+        self.refused_readers.extend(names.iter().cloned());
         for name in names {
             if self.node(name).watch.take().is_some() {
                 self.schedule(name, Event::WatchFailed);
@@ -209,7 +210,7 @@
 
     fn answer_watch(&mut self, name: &str) {
         let now = self.now;
-        let is_reached = !self.unreached.contains(name);
+        let is_reached = !self.stalled_watches.contains(name);
         let Some(watch) = &self.node(name).watch else {
             return;
         };
@@ -234,7 +235,7 @@
         self.event_queue.insert(at, (to.to_owned(), event));
     }
 
-    pub(crate) fn give(&mut self, name: &str, event: Event) {
+    pub(crate) fn handle_event(&mut self, name: &str, event: Event) {
         let (now, mut out) = (self.now, Vec::new());
         self.node(name).machine.handle(now, event, &mut out);
         for action in out {
@@ -250,10 +251,10 @@
         match action {
             Action::Send { to, frame } => self.send(name, &to, frame),
             Action::Watch(read) => {
-                let platform_answers = self.platform_up && !self.refused.contains(name);
+                let platform_answers = self.platform_up && !self.refused_readers.contains(name);
                 let lost = self.answers_lost;
                 let node = self.node(name);
-                node.reads += 1;
+                node.platform_reads += 1;
                 if platform_answers {
                     let answer_by = now + read.wait;
                     let fails_at = answer_by + read.patience;
@@ -274,13 +275,13 @@
     }
 
     fn send(&mut self, from: &str, to: &str, frame: Box<Frame>) {
-        self.node(from).sent += 1;
-        let target = self.names().into_iter().find(|name| publish::address(name) == to);
+        self.node(from).frames_sent += 1;
+        let target = self.names().into_iter().find(|name| fixtures::address(name) == to);
         let Some(target) = target else { return };
         if self.nodes[from].zone != self.nodes[&target].zone {
             self.cross_zone_bytes += frame.encoded_len();
         }
-        if self.island.contains(from) == self.island.contains(&target) {
+        if self.partition_side.contains(from) == self.partition_side.contains(&target) {
             self.schedule(&target, Event::Frame(frame));
         }
     }
@@ -293,7 +294,7 @@
             node.inbox.push(event);
             return;
         }
-        self.give(name, event);
+        self.handle_event(name, event);
     }
 
     fn update_max_total_shares(&mut self) {
@@ -345,7 +346,7 @@
                 self.answer_watch(&name);
             }
             if self.node(&name).machine.next_wake() <= now {
-                self.give(&name, Event::Tick);
+                self.handle_event(&name, Event::Tick);
             }
         }
     }
@@ -360,7 +361,7 @@
     }
 
     /// Advances the virtual time until the condition is met; panics after `bound`.
-    pub(crate) fn until(
+    pub(crate) fn run_until(
         &mut self,
         condition: &str,
         bound: Duration,
--- a/crates/core/tests/fleet/main.rs
+++ b/crates/core/tests/fleet/main.rs
@@ -1,20 +1,20 @@
 //! Tests of the control machine: single machines, and simulated fleets of many.
 
-mod concert;
-mod disorder;
+mod connection_limits;
+mod cross_zone_traffic;
 mod evacuation;
+mod fixtures;
 mod harness;
-mod listing;
-mod many;
 mod membership;
+mod observed_fleet;
 mod parts;
 mod placement;
-mod publish;
 mod quarantine;
+mod random_failures;
 mod reader;
 mod repair;
 mod replacement;
 mod session;
 mod silence;
+mod simulation;
 mod store;
-mod volume;
--- a/crates/core/tests/fleet/membership.rs
+++ b/crates/core/tests/fleet/membership.rs
@@ -8,7 +8,7 @@
 use ladder_core::schema::wire::{Liveness, Rumour};
 use ladder_core::time::Instant;
 
-use crate::publish;
+use crate::fixtures;
 
 const OWN: &str = "entry-0";
 
@@ -21,7 +21,7 @@
 impl Fixture {
     fn new(peers: usize) -> Self {
         let settings =
-            Settings::builder(OWN, &publish::address(OWN)).zone("trindade").incarnation(5).build();
+            Settings::builder(OWN, &fixtures::address(OWN)).zone("trindade").incarnation(5).build();
         let now = Instant::from_millis(1000);
         let mut membership = Membership::new(&settings, now);
         let published: Vec<Instance> =
@@ -35,7 +35,7 @@
     }
 
     fn receive_frame(&mut self, number: usize, incarnation: u64) -> FrameEffect {
-        let frame = publish::frame(&format!("entry-{number}"), "trindade", incarnation);
+        let frame = fixtures::frame(&format!("entry-{number}"), "trindade", incarnation);
         self.membership.receive_frame(self.now, &frame)
     }
 
@@ -67,7 +67,7 @@
         liveness: Liveness,
     ) {
         let (name, version) = (format!("entry-{number}"), (incarnation, refutation));
-        let rumour = publish::rumour(&name, "trindade", version, liveness);
+        let rumour = fixtures::gossip_update(&name, "trindade", version, liveness);
         self.membership.apply_update(self.now, &rumour);
     }
 
@@ -78,7 +78,7 @@
 }
 
 fn published_instance(number: usize, state: State) -> Instance {
-    match publish::instance(&format!("entry-{number}"), "trindade", state) {
+    match fixtures::instance(&format!("entry-{number}"), "trindade", state) {
         Body::Instance(instance) => instance,
         _ => unreachable!("built as an instance"),
     }
@@ -306,7 +306,7 @@
         address: String,
         becomes: (u64, u32),
     }
-    let own = publish::address(OWN);
+    let own = fixtures::address(OWN);
     let case = |generation, liveness, address: &str, becomes| Case {
         generation,
         liveness,
@@ -323,7 +323,7 @@
     ];
     for Case { generation, liveness, address, becomes } in cases {
         let mut fixture = Fixture::new(3);
-        let received = publish::rumour(OWN, "trindade", (generation, 3), liveness);
+        let received = fixtures::gossip_update(OWN, "trindade", (generation, 3), liveness);
         let description = format!("{generation} {liveness:?} at {address}");
         fixture.membership.apply_update(fixture.now, &Rumour { address, ..received });
         let own = fixture.membership.own();
--- a/crates/core/tests/fleet/listing.rs
+++ b/crates/core/tests/fleet/observed_fleet.rs
@@ -13,7 +13,7 @@
 use ladder_core::schema::wire::Frame;
 use ladder_core::time::Instant;
 
-use crate::publish;
+use crate::fixtures;
 
 /// Number of servers of the service.
 const SERVER_COUNT: u64 = 20;
@@ -27,12 +27,12 @@
 }
 
 fn server(number: u64) -> Body {
-    publish::server(&format!("docks-{number}"), "docks", 1, State::Live)
+    fixtures::server(&format!("docks-{number}"), "docks", 1, State::Live)
 }
 
 /// Routes of one version with one service.
 fn routes(version: u64) -> Body {
-    let Body::Entry(entry) = publish::entry("docks", 10) else {
+    let Body::Entry(entry) = fixtures::entry("docks", 10) else {
         unreachable!("the fixture is an entry");
     };
     Body::Routing(Routing {
@@ -50,12 +50,12 @@
 
 /// Routes and all servers, with one revision for each record.
 fn all_records() -> Vec<Record> {
-    let servers = (1..=SERVER_COUNT).map(|number| publish::record(number + 1, server(number)));
-    [publish::record(1, routes(1))].into_iter().chain(servers).collect()
+    let servers = (1..=SERVER_COUNT).map(|number| fixtures::record(number + 1, server(number)));
+    [fixtures::record(1, routes(1))].into_iter().chain(servers).collect()
 }
 
 fn server_tombstone(number: u64, revision: u64) -> Record {
-    publish::record(revision, publish::tombstone(Kind::Server, &format!("docks-{number}")))
+    fixtures::record(revision, fixtures::tombstone(Kind::Server, &format!("docks-{number}")))
 }
 
 impl ObservingInstance {
@@ -72,7 +72,7 @@
     /// of sweeps.
     pub(crate) fn with_name(name: &str, zone: &str, near: bool) -> Self {
         let now = Instant::from_millis(0);
-        let settings = Settings::builder(name, &publish::address(name))
+        let settings = Settings::builder(name, &fixtures::address(name))
             .fleet("porto")
             .zone(zone)
             .near(near)
@@ -139,7 +139,7 @@
             fleet: "porto".to_owned(),
             from: name.to_owned(),
             incarnation: 1,
-            address: publish::address(name),
+            address: fixtures::address(name),
             zone: zone.to_owned(),
             ..Frame::default()
         })));
@@ -176,7 +176,7 @@
     assert_eq!(instance.last_requested_revision(), 0, "all records are read again");
     let mut records = all_records();
     records.remove(5);
-    records.push(publish::record(90, routes(2)));
+    records.push(fixtures::record(90, routes(2)));
     instance.receive_full_listing(records);
     assert_eq!(instance.server_count(), 19);
 }
@@ -230,7 +230,7 @@
         instance.advance(500);
         if case.returning > 0 {
             let returning =
-                (1..=case.returning).map(|number| publish::record(200 + number, server(number)));
+                (1..=case.returning).map(|number| fixtures::record(200 + number, server(number)));
             instance.receive_changes(returning.collect());
         }
         instance.advance(2500);
@@ -307,7 +307,7 @@
             ..Route::default()
         };
         let routing = Routing { routes: vec![route], ..routing };
-        instance.receive_changes(vec![publish::record(100, Body::Routing(routing))]);
+        instance.receive_changes(vec![fixtures::record(100, Body::Routing(routing))]);
         instance.advance(6000);
         let view = instance.machine.view();
         let service = view.service("docks").expect("the service");
--- a/crates/core/tests/fleet/parts.rs
+++ b/crates/core/tests/fleet/parts.rs
@@ -11,7 +11,7 @@
 use ladder_core::time::Instant;
 use ladder_core::view::{Service, View};
 
-use crate::publish;
+use crate::fixtures;
 
 const INSTANCES: u8 = 14;
 const SERVICES: u8 = 5;
@@ -31,20 +31,20 @@
 /// A published record selected by the numbers: a withdrawal for an odd `detail`, otherwise a
 /// change.
 fn body(kind: u8, which: u8, detail: u8) -> Body {
-    let withdraw = |kind, name: &str| publish::tombstone(kind, name);
+    let withdraw = |kind, name: &str| fixtures::tombstone(kind, name);
     let state = match detail & 4 {
         0 => State::Live,
         _ => State::Leaving,
     };
     let server = format!("server-{}", which % 8);
     match (kind % 4, detail % 2) {
-        (0, 0) => publish::entry(&service(which), 1 + u32::from(detail)),
+        (0, 0) => fixtures::entry(&service(which), 1 + u32::from(detail)),
         (0, _) => withdraw(Kind::Entry, &service(which)),
-        (1, 0) => publish::server(&server, &service(detail / 8), u64::from(detail), state),
+        (1, 0) => fixtures::server(&server, &service(detail / 8), u64::from(detail), state),
         (1, _) => withdraw(Kind::Server, &server),
-        (2, 0) => publish::index("docks", 1 + u64::from(which % 3), &[&service(detail)]),
+        (2, 0) => fixtures::index("docks", 1 + u64::from(which % 3), &[&service(detail)]),
         (2, _) => withdraw(Kind::Index, &format!("docks@{}", 1 + which % 3)),
-        (_, 0) => publish::instance(&name(which), zone(which), state),
+        (_, 0) => fixtures::instance(&name(which), zone(which), state),
         (_, _) => withdraw(Kind::Instance, &name(which)),
     }
 }
@@ -53,8 +53,8 @@
     let liveness = [Liveness::Alive, Liveness::Suspect, Liveness::Dead, Liveness::Leaving]
         [usize::from(detail % 4)];
     let version = (1 + u64::from(detail / 64), u32::from(detail / 16));
-    let update = publish::rumour(&name(which), zone(which), version, liveness);
-    Frame { rumours: vec![update], ..publish::frame(&name(1), zone(1), 1) }
+    let update = fixtures::gossip_update(&name(which), zone(which), version, liveness);
+    Frame { rumours: vec![update], ..fixtures::frame(&name(1), zone(1), 1) }
 }
 
 fn by_name(view: &View) -> BTreeMap<&str, &Arc<Service>> {
@@ -71,7 +71,7 @@
 impl Harness {
     fn new(placement: Placement) -> Self {
         let now = Instant::from_millis(1000);
-        let settings = Settings::builder(&name(0), &publish::address(&name(0)))
+        let settings = Settings::builder(&name(0), &fixtures::address(&name(0)))
             .zone(zone(0))
             .placement(placement)
             .build();
@@ -86,7 +86,7 @@
 
     fn publish(&mut self, bodies: &[(u8, u8, u8)]) {
         let bodies = bodies.iter().map(|&(kind, which, detail)| body(kind, which, detail));
-        let records = publish::records(self.revision + 1, bodies);
+        let records = fixtures::records(self.revision + 1, bodies);
         self.revision += records.len() as u64;
         self.give(Event::Page(Page { head: self.revision, records, ..Page::default() }));
     }
--- a/crates/core/tests/fleet/placement.rs
+++ b/crates/core/tests/fleet/placement.rs
@@ -9,7 +9,7 @@
 use ladder_core::schema::publication::{Kind, Page, State, record::Body};
 use ladder_core::time::Instant;
 
-use crate::publish;
+use crate::fixtures;
 
 /// Zones of published instances, by name of the instance.
 type Fleet = BTreeMap<String, String>;
@@ -180,7 +180,7 @@
 }
 
 fn machine() -> Machine {
-    let own = Settings::builder("entry-0", &publish::address("entry-0")).zone("zone-0");
+    let own = Settings::builder("entry-0", &fixtures::address("entry-0")).zone("zone-0");
     Machine::new(own.build(), Instant::from_millis(0))
 }
 
@@ -201,16 +201,16 @@
         let mut machine = machine();
         let mut fleet = Fleet::new();
         let services: Vec<String> = (0..5).map(|at| format!("gate-{at}")).collect();
-        let entries = services.iter().map(|service| publish::entry(service, 10));
+        let entries = services.iter().map(|service| fixtures::entry(service, 10));
         apply(&mut machine, 1, entries);
         for (at, &(instance, zone)) in changes.iter().enumerate() {
             let name = format!("entry-{}", instance % 40);
             let zone = format!("zone-{}", zone % 7);
             let body = if fleet.remove(&name).is_some() {
-                publish::tombstone(Kind::Instance, &name)
+                fixtures::tombstone(Kind::Instance, &name)
             } else {
                 fleet.insert(name.clone(), zone.clone());
-                publish::instance(&name, &zone, State::Live)
+                fixtures::instance(&name, &zone, State::Live)
             };
             apply(&mut machine, 100 + at as u64, [body]);
         }
@@ -226,7 +226,7 @@
 
 fn apply(machine: &mut Machine, revision: u64, bodies: impl IntoIterator<Item = Body>) {
     let page =
-        Page { head: revision, records: publish::records(revision, bodies), ..Page::default() };
+        Page { head: revision, records: fixtures::records(revision, bodies), ..Page::default() };
     machine.handle(Instant::from_millis(revision), Event::Page(page), &mut Vec::new());
 }
 
@@ -236,14 +236,14 @@
 fn first_instance_of_a_new_zone_is_a_candidate() {
     let mut machine = machine();
     let services: Vec<String> = (0..50).map(|at| format!("gate-{at}")).collect();
-    let entries = services.iter().map(|service| publish::entry(service, 10));
+    let entries = services.iter().map(|service| fixtures::entry(service, 10));
     apply(&mut machine, 1, entries);
     let first_instances = (0..24).map(|at| {
         let zone = format!("zone-{}", at % 3);
-        publish::instance(&format!("entry-{at}"), &zone, State::Live)
+        fixtures::instance(&format!("entry-{at}"), &zone, State::Live)
     });
     apply(&mut machine, 100, first_instances);
-    apply(&mut machine, 200, [publish::instance("entry-99", "zone-3", State::Live)]);
+    apply(&mut machine, 200, [fixtures::instance("entry-99", "zone-3", State::Live)]);
     for service in &services {
         assert!(incremental_candidates(&machine, service).contains("entry-99"), "{service}");
     }
--- a/crates/core/tests/fleet/quarantine.rs
+++ b/crates/core/tests/fleet/quarantine.rs
@@ -13,7 +13,7 @@
 use ladder_core::fingerprint::Fingerprint;
 use ladder_core::view::Quarantine;
 
-use crate::concert::fleet_of;
+use crate::simulation::ready_fleet_with;
 use ladder_core::time::Instant;
 
 use crate::harness::Fleet;
@@ -58,7 +58,8 @@
 
 /// A fleet whose instances are all ready and agree.
 fn settled_fleet(instances: usize) -> Fleet {
-    let mut fleet = fleet_of(instances, 4, Timing { contact: CONTACT, ..Timing::default() });
+    let mut fleet =
+        ready_fleet_with(instances, 4, Timing { contact: CONTACT, ..Timing::default() });
     fleet.run(ms(2000));
     fleet
 }
@@ -66,7 +67,7 @@
 /// Reports three crashes under the poison request, each to the instance numbered in `observers`.
 fn crash_three_servers(fleet: &mut Fleet, observers: [usize; 3]) {
     for (number, observer) in (0..).zip(observers) {
-        fleet.give(&name(observer), crash_event(number, &[POISON]));
+        fleet.handle_event(&name(observer), crash_event(number, &[POISON]));
     }
 }
 
@@ -80,7 +81,7 @@
             crash_three_servers(&mut fleet, observers);
             let description =
                 format!("{instances} instances refuse the request whose crashes {observers:?} saw");
-            fleet.until(&description, CONTACT, |fleet| refused_everywhere(fleet, POISON));
+            fleet.run_until(&description, CONTACT, |fleet| refused_everywhere(fleet, POISON));
         }
     }
 }
@@ -90,28 +91,28 @@
 #[test]
 fn starting_and_reconnected_instances_learn_refused_requests() {
     let mut fleet = settled_fleet(9);
-    fleet.island = [name(7), name(8)].into();
+    fleet.partition_side = [name(7), name(8)].into();
     crash_three_servers(&mut fleet, [0, 1, 2]);
-    fleet.until("the connected instances refuse it", CONTACT, |fleet| {
+    fleet.run_until("the connected instances refuse it", CONTACT, |fleet| {
         (0..7).all(|at| refuses(fleet, &name(at), POISON))
     });
     assert!(
         (7..9).all(|at| !refuses(&fleet, &name(at), POISON)),
         "isolated instances must not know it yet"
     );
-    fleet.island.clear();
-    fleet.until("the reconnected instances refuse it", CONTACT, |fleet| {
+    fleet.partition_side.clear();
+    fleet.run_until("the reconnected instances refuse it", CONTACT, |fleet| {
         refused_everywhere(fleet, POISON)
     });
     for at in 0..8 {
         fleet.kill(&name(at), true);
     }
-    fleet.seeds = vec![crate::publish::address(&name(8))];
+    fleet.seeds = vec![crate::fixtures::address(&name(8))];
     fleet.incarnation = 2;
     for at in 0..4 {
         fleet.start(&name(at), "trindade");
     }
-    fleet.until("the starting instances refuse it", CONTACT, |fleet| {
+    fleet.run_until("the starting instances refuse it", CONTACT, |fleet| {
         refused_everywhere(fleet, POISON)
     });
 }
@@ -178,7 +179,7 @@
     for Case { name: case, events, poison_refused } in cases() {
         let mut fleet = settled_fleet(3);
         for (at, event) in events.into_iter().enumerate() {
-            fleet.give(&name(at % 3), event);
+            fleet.handle_event(&name(at % 3), event);
             fleet.run(ms(20));
         }
         fleet.run(CONTACT);
@@ -199,7 +200,7 @@
     crash_three_servers(&mut fleet, [0, 1, 2]);
     for _ in 0..3 {
         fleet.run(RETENTION / 2);
-        fleet.give(&name(1), Event::Asked(POISON));
+        fleet.handle_event(&name(1), Event::Asked(POISON));
         assert!(refuses(&fleet, &name(1), POISON), "while the request is still sent");
     }
     fleet.run(RETENTION * 2);
@@ -211,14 +212,14 @@
 #[test]
 fn quarantine_and_its_gossip_are_bounded() {
     let mut fleet = settled_fleet(3);
-    let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.sent).sum::<usize>();
+    let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.frames_sent).sum::<usize>();
     let sent_before = sent(&fleet);
     fleet.run(ms(5000));
     let idle_frames = sent(&fleet) - sent_before;
     for request in 0..2 * MAX_REQUESTS as u64 {
         for number in 0..3 {
             let requests = [Fingerprint(u128::from(request) + 10)];
-            fleet.give(&name(0), crash_event(request * 3 + number, &requests));
+            fleet.handle_event(&name(0), crash_event(request * 3 + number, &requests));
         }
         fleet.run(ms(5));
     }
@@ -285,7 +286,7 @@
                     }
                     Step::Asked { request: number } => Event::Asked(request(number)),
                     Step::Isolated => {
-                        fleet.island = [at].into();
+                        fleet.partition_side = [at].into();
                         continue;
                     }
                     Step::Wait(millis) => {
@@ -293,9 +294,9 @@
                         continue;
                     }
                 };
-                fleet.give(&at, event);
+                fleet.handle_event(&at, event);
             }
-            fleet.island.clear();
+            fleet.partition_side.clear();
             fleet.run(ms(20_000));
             let quarantine_of = |at: usize| {
                 let view = fleet.nodes[&name(at)].machine.view();
--- a/crates/core/tests/fleet/disorder.rs
+++ b/crates/core/tests/fleet/random_failures.rs
@@ -5,9 +5,9 @@
 use ladder_core::control::Event;
 use ladder_core::schema::publication::{Kind, State};
 
-use crate::concert::{all_ready, in_force, name, platform, zone};
-use crate::harness::{Fleet, Node};
-use crate::publish;
+use crate::fixtures;
+use crate::harness::{Fleet, SimulatedInstance};
+use crate::simulation::{all_ready, name, platform_with, queue_limit_in_force, zone};
 
 const INSTANCE_COUNT: usize = 6;
 const CONNECTION_LIMIT: u32 = 25;
@@ -24,7 +24,7 @@
 
 impl Simulation {
     fn new() -> Self {
-        let mut fleet = platform(INSTANCE_COUNT, 3);
+        let mut fleet = platform_with(INSTANCE_COUNT, 3);
         for at in 0..INSTANCE_COUNT {
             fleet.start(&name(at), zone(at));
         }
@@ -35,9 +35,9 @@
         let selector = usize::from(selector);
         let instance_name = name(selector % INSTANCE_COUNT);
         match action % 9 {
-            0 => self.fleet.island = (0..selector % INSTANCE_COUNT).map(name).collect(),
-            1 => self.fleet.island.clear(),
-            2 => self.fleet.silence_platform(),
+            0 => self.fleet.partition_side = (0..selector % INSTANCE_COUNT).map(name).collect(),
+            1 => self.fleet.partition_side.clear(),
+            2 => self.fleet.stop_platform(),
             3 => self.fleet.restore_platform(u64::MAX),
             4 => self.change_entry(selector),
             5 => self.restart(&instance_name, selector),
@@ -51,7 +51,7 @@
     fn change_entry(&mut self, selector: usize) {
         self.revision += 1;
         self.queue_limit = 1 + selector as u32;
-        self.fleet.put(self.revision, publish::entry("gate-0", self.queue_limit));
+        self.fleet.publish_body(self.revision, fixtures::entry("gate-0", self.queue_limit));
     }
 
     /// Withdraws the last instance from the published list, or publishes it again. Instances whose
@@ -60,19 +60,19 @@
     fn toggle_last_instance(&mut self) {
         let last = INSTANCE_COUNT - 1;
         let body = if self.last_instance_withdrawn {
-            publish::instance(&name(last), zone(last), State::Live)
+            fixtures::instance(&name(last), zone(last), State::Live)
         } else {
-            publish::tombstone(Kind::Instance, &name(last))
+            fixtures::tombstone(Kind::Instance, &name(last))
         };
         self.last_instance_withdrawn = !self.last_instance_withdrawn;
         self.revision += 1;
-        self.fleet.put(self.revision, body);
+        self.fleet.publish_body(self.revision, body);
     }
 
     fn restart(&mut self, instance_name: &str, selector: usize) {
         self.kill(instance_name, selector);
         self.fleet.incarnation += 1;
-        self.fleet.seeds = (0..INSTANCE_COUNT).map(|at| publish::address(&name(at))).collect();
+        self.fleet.seeds = (0..INSTANCE_COUNT).map(|at| fixtures::address(&name(at))).collect();
         self.fleet.start(instance_name, zone(selector % INSTANCE_COUNT));
     }
 
@@ -88,13 +88,13 @@
             incarnation: 1,
         };
         if let Some(instance_name) = self.fleet.nodes.keys().next().cloned() {
-            self.fleet.give(&instance_name, seen);
+            self.fleet.handle_event(&instance_name, seen);
         }
     }
 
     /// Ends all failures and restarts the instances that were killed.
     fn end_failures(&mut self) {
-        self.fleet.island.clear();
+        self.fleet.partition_side.clear();
         self.fleet.restore_platform(u64::MAX);
         for at in 0..INSTANCE_COUNT {
             if !self.fleet.nodes.contains_key(&name(at)) {
@@ -105,12 +105,12 @@
 }
 
 fn known_revisions(fleet: &Fleet) -> Vec<Vec<(String, u64)>> {
-    fleet.nodes.values().map(|node| publish::known(&node.machine)).collect()
+    fleet.nodes.values().map(|node| fixtures::known_revisions(&node.machine)).collect()
 }
 
 fn has_converged(fleet: &Fleet, queue_limit: u32) -> bool {
     let revisions = known_revisions(fleet);
-    let leaving_flags_of = |node: &Node| -> Vec<bool> {
+    let leaving_flags_of = |node: &SimulatedInstance| -> Vec<bool> {
         let view = node.machine.view();
         let mut servers: Vec<_> = view.services.values().flat_map(|s| s.servers.clone()).collect();
         servers.sort_by(|one, other| one.name.cmp(&other.name));
@@ -120,7 +120,7 @@
     let first = leaving_flags.next();
     all_ready(fleet)
         && revisions.iter().all(|other| *other == revisions[0])
-        && in_force(fleet, "gate-0", queue_limit)
+        && queue_limit_in_force(fleet, "gate-0", queue_limit)
         && leaving_flags.all(|other| Some(other) == first)
 }
 
@@ -138,7 +138,7 @@
         simulation.end_failures();
         let queue_limit = simulation.queue_limit;
         let converged = |fleet: &Fleet| has_converged(fleet, queue_limit);
-        simulation.fleet.until("converged", CONVERGENCE_TIMEOUT, converged);
+        simulation.fleet.run_until("converged", CONVERGENCE_TIMEOUT, converged);
         let largest_total = simulation.fleet.max_total_shares.values().max();
         assert!(
             largest_total.is_none_or(|&largest_total| largest_total <= CONNECTION_LIMIT),
@@ -152,14 +152,14 @@
 #[test]
 fn instance_return_overrides_racing_withdrawal() {
     let mut simulation = Simulation::new();
-    simulation.fleet.until("ready", CONVERGENCE_TIMEOUT, all_ready);
-    simulation.fleet.island = (0..3).map(name).collect();
-    simulation.fleet.put(2000, publish::tombstone(Kind::Instance, &name(5)));
-    simulation.fleet.silence_platform();
+    simulation.fleet.run_until("ready", CONVERGENCE_TIMEOUT, all_ready);
+    simulation.fleet.partition_side = (0..3).map(name).collect();
+    simulation.fleet.publish_body(2000, fixtures::tombstone(Kind::Instance, &name(5)));
+    simulation.fleet.stop_platform();
     simulation.fleet.run(Duration::from_secs(2));
-    simulation.fleet.put(2001, publish::instance(&name(5), zone(5), State::Live));
+    simulation.fleet.publish_body(2001, fixtures::instance(&name(5), zone(5), State::Live));
     simulation.end_failures();
-    simulation.fleet.until("returned", CONVERGENCE_TIMEOUT, |fleet| {
+    simulation.fleet.run_until("returned", CONVERGENCE_TIMEOUT, |fleet| {
         known_revisions(fleet)
             .iter()
             .all(|known| known.contains(&("instance entry-5".to_owned(), 2001)))
--- a/crates/core/tests/fleet/repair.rs
+++ b/crates/core/tests/fleet/repair.rs
@@ -6,13 +6,13 @@
 use ladder_core::time::Instant;
 use prost::Message;
 
-use crate::publish;
+use crate::fixtures;
 
 const NAMES: [&str; 2] = ["entry-0", "entry-1"];
 const NOW: Instant = Instant::from_millis(60_000);
 
 fn machine(name: &str, records: Vec<Record>) -> Machine {
-    let settings = Settings::builder(name, &publish::address(name)).build();
+    let settings = Settings::builder(name, &fixtures::address(name)).build();
     let mut machine = Machine::new(settings, Instant::from_millis(1000));
     let page = Event::Page(Page { head: 0, records, ..Page::default() });
     machine.handle(Instant::from_millis(1000), page, &mut Vec::new());
@@ -25,14 +25,14 @@
 /// a bucket holds are sent. Both instances must end up with the same records.
 #[test]
 fn small_difference_transfers_few_records() {
-    let entry = |at: u64| publish::record(at, publish::entry(&format!("gate-{at}"), 10));
+    let entry = |at: u64| fixtures::record(at, fixtures::entry(&format!("gate-{at}"), 10));
     let common: Vec<Record> = (1..=4000).map(entry).collect();
     let mut first_records = common.clone();
-    first_records.push(publish::record(5000, publish::entry("gate-7", 20)));
+    first_records.push(fixtures::record(5000, fixtures::entry("gate-7", 20)));
     let mut second_records = common;
-    second_records.push(publish::record(5001, publish::tombstone(Kind::Entry, "gate-9")));
+    second_records.push(fixtures::record(5001, fixtures::tombstone(Kind::Entry, "gate-9")));
     let mut machines = [machine(NAMES[0], first_records), machine(NAMES[1], second_records)];
-    let mut frames_in_flight: Vec<(usize, Frame)> = vec![(0, publish::frame(NAMES[1], "", 1))];
+    let mut frames_in_flight: Vec<(usize, Frame)> = vec![(0, fixtures::frame(NAMES[1], "", 1))];
     let mut records_sent = 0;
     let mut max_frame_bytes = 0;
     for _ in 0..50 {
@@ -52,7 +52,7 @@
             }
         }
     }
-    assert_eq!(publish::known(&machines[0]), publish::known(&machines[1]));
+    assert_eq!(fixtures::known_revisions(&machines[0]), fixtures::known_revisions(&machines[1]));
     assert!(records_sent < 40, "{records_sent} records were sent");
     assert!(max_frame_bytes < 8192, "{max_frame_bytes} bytes in one frame");
 }
--- a/crates/core/tests/fleet/replacement.rs
+++ b/crates/core/tests/fleet/replacement.rs
@@ -7,9 +7,12 @@
 use ladder_core::schema::publication::{Kind, State, record::Body};
 use ladder_core::view::Service;
 
-use crate::concert::{BOUND, agreed, all_ready, assert_caps, fleet, name, nobody_uses, zone};
+use crate::fixtures;
 use crate::harness::Fleet;
-use crate::publish;
+use crate::simulation::{
+    TIMEOUT, all_ready, assert_connection_limits, name, owners_agree, owns_nothing, ready_fleet,
+    zone,
+};
 
 /// Connections of a primary candidate to one server with the connection limit of these tests.
 const PRIMARY_SHARE: u32 = 4;
@@ -17,25 +20,25 @@
 /// Replaces all instances one after the other by new ones with new names. Each new instance runs
 /// for `overlap` before the old one drains. Returns the fleet when its instances agree again.
 fn replace_all(overlap: Duration) -> Fleet {
-    let mut fleet = fleet(9, 20);
+    let mut fleet = ready_fleet(9, 20);
     let mut revision = 1000;
     let mut publish = |fleet: &mut Fleet, body: Body| {
         revision += 1;
-        fleet.put(revision, body);
+        fleet.publish_body(revision, body);
     };
     for at in 0..9 {
         let (old, new) = (name(at), name(100 + at));
         fleet.start(&new, zone(at));
-        publish(&mut fleet, publish::instance(&new, zone(at), State::Live));
+        publish(&mut fleet, fixtures::instance(&new, zone(at), State::Live));
         fleet.run(overlap);
-        publish(&mut fleet, publish::instance(&old, zone(at), State::Leaving));
-        fleet.give(&old, Event::Drain);
-        fleet.until("left", Duration::from_secs(3), |fleet| nobody_uses(fleet, &old));
+        publish(&mut fleet, fixtures::instance(&old, zone(at), State::Leaving));
+        fleet.handle_event(&old, Event::Drain);
+        fleet.run_until("left", Duration::from_secs(3), |fleet| owns_nothing(fleet, &old));
         fleet.kill(&old, true);
-        publish(&mut fleet, publish::tombstone(Kind::Instance, &old));
+        publish(&mut fleet, fixtures::tombstone(Kind::Instance, &old));
         fleet.run(Duration::from_millis(300));
     }
-    fleet.until("agreed", BOUND, |fleet| agreed(fleet) && all_ready(fleet));
+    fleet.run_until("agreed", TIMEOUT, |fleet| owners_agree(fleet) && all_ready(fleet));
     fleet.run(Duration::from_secs(5));
     let served = fleet.nodes.values().map(|node| node.machine.view());
     let mut services = served.flat_map(|view| view.services.values());
@@ -49,7 +52,7 @@
 #[test]
 fn rolling_replacement_keeps_connection_limits() {
     let fleet = replace_all(Duration::from_millis(700));
-    assert_caps(&fleet);
+    assert_connection_limits(&fleet);
 }
 
 /// A rolling replacement that waits until each new instance is ready. No service may be owned by
@@ -57,7 +60,7 @@
 #[test]
 fn rolling_replacement_never_makes_an_owner_without_its_connections() {
     let fleet = replace_all(Duration::from_millis(2500));
-    assert_caps(&fleet);
+    assert_connection_limits(&fleet);
     assert_owners_have_shares(&fleet);
 }
 
@@ -86,28 +89,28 @@
 /// hold.
 #[test]
 fn sudden_replacement_keeps_connection_limits() {
-    let mut fleet = fleet(24, 20);
+    let mut fleet = ready_fleet(24, 20);
     let replaced = 0..12;
-    fleet.island = (0..24).filter(|at| at % 2 == 0).map(name).collect();
-    fleet.unreached = fleet.island.clone();
+    fleet.partition_side = (0..24).filter(|at| at % 2 == 0).map(name).collect();
+    fleet.stalled_watches = fleet.partition_side.clone();
     let records = replaced.clone().flat_map(|at| {
         let revision = 1000 + 2 * at as u64;
-        let new = publish::instance(&name(100 + at), zone(at), State::Live);
-        let gone = publish::tombstone(Kind::Instance, &name(at));
-        [publish::record(revision, new), publish::record(revision + 1, gone)]
+        let new = fixtures::instance(&name(100 + at), zone(at), State::Live);
+        let gone = fixtures::tombstone(Kind::Instance, &name(at));
+        [fixtures::record(revision, new), fixtures::record(revision + 1, gone)]
     });
     fleet.publish(records);
     for at in replaced.clone() {
         fleet.start(&name(100 + at), zone(at));
     }
     fleet.run(Duration::from_millis(1000));
-    fleet.island.clear();
-    fleet.unreached.clear();
+    fleet.partition_side.clear();
+    fleet.stalled_watches.clear();
     fleet.run(Duration::from_millis(1500));
     for at in replaced {
         fleet.kill(&name(at), false);
     }
-    fleet.until("agreed", BOUND, agreed);
+    fleet.run_until("agreed", TIMEOUT, owners_agree);
     fleet.run(Duration::from_secs(5));
-    assert_caps(&fleet);
+    assert_connection_limits(&fleet);
 }
--- a/crates/core/tests/fleet/session.rs
+++ b/crates/core/tests/fleet/session.rs
@@ -8,8 +8,8 @@
 use ladder_core::schema::wire::{Frame, Rumour};
 use ladder_core::view::{Service, View};
 
-use crate::concert::{name, platform, zone};
-use crate::publish;
+use crate::fixtures;
+use crate::simulation::{name, platform_with, zone};
 
 /// Describes an action in one line; none for counters and frames that carry no changes.
 pub(crate) fn action_line(action: &Action) -> Option<String> {
@@ -65,19 +65,19 @@
 /// and ends. The snapshot contains each view and each broadcast on the way.
 #[test]
 fn instance_replacement_matches_snapshot() {
-    let mut fleet = platform(3, 1);
+    let mut fleet = platform_with(3, 1);
     for at in 0..3 {
         fleet.start(&name(at), zone(at));
     }
     fleet.run(Duration::from_secs(6));
     fleet.start(&name(4), zone(4));
-    fleet.put(100, publish::instance(&name(4), zone(4), State::Live));
+    fleet.publish_body(100, fixtures::instance(&name(4), zone(4), State::Live));
     fleet.run(Duration::from_secs(3));
-    fleet.give(&name(1), Event::Drain);
-    fleet.put(101, publish::instance(&name(1), zone(1), State::Leaving));
+    fleet.handle_event(&name(1), Event::Drain);
+    fleet.publish_body(101, fixtures::instance(&name(1), zone(1), State::Leaving));
     fleet.run(Duration::from_secs(1));
     fleet.kill(&name(1), true);
-    fleet.put(102, publish::tombstone(Kind::Instance, &name(1)));
+    fleet.publish_body(102, fixtures::tombstone(Kind::Instance, &name(1)));
     fleet.run(Duration::from_secs(4));
     insta::assert_snapshot!(fleet.action_log.join("\n"));
 }
--- a/crates/core/tests/fleet/silence.rs
+++ b/crates/core/tests/fleet/silence.rs
@@ -5,9 +5,9 @@
 
 use ladder_core::control::settings::Timing;
 
-use crate::concert::{fleet_of, in_force};
+use crate::fixtures;
 use crate::harness::Fleet;
-use crate::publish;
+use crate::simulation::{queue_limit_in_force, ready_fleet_with};
 
 /// Maximum time after the platform's answers return until its readers must know its records.
 const CONTACT: Duration = Duration::from_secs(4);
@@ -49,15 +49,15 @@
     for (&Case { name, silence, change_after }, instances) in runs {
         let timing = Timing { contact: CONTACT, ..Timing::default() };
         let late_phases = (0..10).filter(|phase| {
-            let mut fleet = fleet_of(instances, 4, timing);
+            let mut fleet = ready_fleet_with(instances, 4, timing);
             fleet.run(ms(phase * 500));
-            fleet.lose_answers();
+            fleet.start_losing_answers();
             fleet.run(silence);
-            fleet.return_answers();
+            fleet.stop_losing_answers();
             fleet.run(change_after);
-            fleet.put(1000, publish::entry("gate-3", 7));
+            fleet.publish_body(1000, fixtures::entry("gate-3", 7));
             fleet.run(CONTACT.saturating_sub(change_after).max(APPLY));
-            !in_force(&fleet, "gate-3", 7)
+            !queue_limit_in_force(&fleet, "gate-3", 7)
         });
         late_changes.extend(
             late_phases.map(|phase| format!("{instances} instances, {name}, phase {phase}")),
@@ -72,24 +72,24 @@
 #[test]
 fn other_instances_read_when_the_platform_refuses_all_readers() {
     for phase in 0..8 {
-        let mut fleet = fleet_of(24, 4, Timing::default());
+        let mut fleet = ready_fleet_with(24, 4, Timing::default());
         fleet.run(ms(phase * 250));
         let readers = fleet.nodes.iter().filter(|(_, node)| node.machine.is_reader());
         let readers: Vec<String> = readers.map(|(name, _)| name.clone()).collect();
         assert_eq!(readers.len(), 6, "two in each of three zones");
-        fleet.refuse(&readers);
-        fleet.put(1000, publish::entry("gate-3", 7));
+        fleet.refuse_reads_of(&readers);
+        fleet.publish_body(1000, fixtures::entry("gate-3", 7));
         let description = format!("phase {phase}: change while all readers are refused");
-        fleet.until(&description, APPLY, |fleet| in_force(fleet, "gate-3", 7));
+        fleet.run_until(&description, APPLY, |fleet| queue_limit_in_force(fleet, "gate-3", 7));
     }
 }
 
 /// While the platform answers no instance, only a limited number of instances may read from it.
 #[test]
 fn few_instances_read_while_the_platform_is_down() {
-    let mut fleet = fleet_of(72, 4, Timing::default());
-    let reads = |fleet: &Fleet| fleet.nodes.values().map(|node| node.reads).sum::<usize>();
-    fleet.silence_platform();
+    let mut fleet = ready_fleet_with(72, 4, Timing::default());
+    let reads = |fleet: &Fleet| fleet.nodes.values().map(|node| node.platform_reads).sum::<usize>();
+    fleet.stop_platform();
     fleet.run(ms(10_000));
     let reads_before = reads(&fleet);
     fleet.run(ms(10_000));
--- a/crates/core/tests/fleet/concert.rs
+++ b/crates/core/tests/fleet/simulation.rs
@@ -9,11 +9,11 @@
 use ladder_core::schema::publication::{Kind, Page, Record, State};
 use ladder_core::schema::wire::Liveness;
 
-use crate::harness::{Fleet, Node};
-use crate::publish;
+use crate::fixtures;
+use crate::harness::{Fleet, SimulatedInstance};
 
 const ZONES: [&str; 3] = ["campanha", "sao-bento", "trindade"];
-pub(crate) const BOUND: Duration = Duration::from_secs(60);
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(60);
 const CONNECTION_LIMIT: u32 = 25;
 
 pub(crate) fn name(number: usize) -> String {
@@ -25,37 +25,37 @@
 }
 
 /// A platform that lists `count` instances, and `services` services of two servers each.
-pub(crate) fn platform(count: usize, services: usize) -> Fleet {
+pub(crate) fn platform_with(count: usize, services: usize) -> Fleet {
     let services: Vec<String> = (0..services).map(|at| format!("gate-{at}")).collect();
     let mut bodies = Vec::new();
     for service in &services {
-        bodies.push(publish::entry(service, 100));
+        bodies.push(fixtures::entry(service, 100));
         for replica in 0..2 {
             let server = format!("{service}-{replica}");
-            bodies.push(publish::server(&server, service, 1, State::Live));
+            bodies.push(fixtures::server(&server, service, 1, State::Live));
         }
     }
     let service_names: Vec<&str> = services.iter().map(String::as_str).collect();
-    bodies.push(publish::index("docks", 1, &service_names));
-    bodies.extend((0..count).map(|at| publish::instance(&name(at), zone(at), State::Live)));
+    bodies.push(fixtures::index("docks", 1, &service_names));
+    bodies.extend((0..count).map(|at| fixtures::instance(&name(at), zone(at), State::Live)));
     let mut fleet = Fleet::new();
-    fleet.publish(publish::records(1, bodies));
+    fleet.publish(fixtures::records(1, bodies));
     fleet
 }
 
 /// A fleet with this platform, in which all instances are running and ready.
-pub(crate) fn fleet(count: usize, services: usize) -> Fleet {
-    fleet_of(count, services, Timing::default())
+pub(crate) fn ready_fleet(count: usize, services: usize) -> Fleet {
+    ready_fleet_with(count, services, Timing::default())
 }
 
 /// A fleet with these time spans, in which all instances are running and ready.
-pub(crate) fn fleet_of(count: usize, services: usize, timing: Timing) -> Fleet {
-    let mut fleet = platform(count, services);
+pub(crate) fn ready_fleet_with(count: usize, services: usize, timing: Timing) -> Fleet {
+    let mut fleet = platform_with(count, services);
     fleet.timing = timing;
     for at in 0..count {
         fleet.start(&name(at), zone(at));
     }
-    fleet.until("all ready", BOUND, all_ready);
+    fleet.run_until("all ready", TIMEOUT, all_ready);
     fleet.run(Duration::from_secs(5));
     fleet
 }
@@ -64,24 +64,24 @@
     fleet.nodes.values().all(|node| node.machine.view().ready)
 }
 
-fn queue_limit(node: &Node, service: &str) -> Option<u32> {
+fn queue_limit(node: &SimulatedInstance, service: &str) -> Option<u32> {
     let service = node.machine.view().service(service)?;
     Some(service.entry.limits?.queue)
 }
 
 /// Whether all instances have the service's entry with this queue limit in force.
-pub(crate) fn in_force(fleet: &Fleet, service: &str, limit: u32) -> bool {
+pub(crate) fn queue_limit_in_force(fleet: &Fleet, service: &str, limit: u32) -> bool {
     fleet.nodes.values().all(|node| queue_limit(node, service) == Some(limit))
 }
 
-fn owner_name(node: &Node, service: &str) -> Option<Arc<str>> {
+fn owner_name(node: &SimulatedInstance, service: &str) -> Option<Arc<str>> {
     let owner = node.machine.view().service(service)?.owner()?;
     Some(Arc::clone(&owner.peer.name))
 }
 
 /// Whether each service has an owner, and no other instance considers `name` the owner of any
 /// service.
-pub(crate) fn nobody_uses(fleet: &Fleet, name: &str) -> bool {
+pub(crate) fn owns_nothing(fleet: &Fleet, name: &str) -> bool {
     let others = fleet.nodes.iter().filter(|(other, _)| *other != name);
     others.map(|(_, node)| node.machine.view()).all(|view| {
         let services = view.services.values();
@@ -91,8 +91,8 @@
 }
 
 /// Whether all instances agree on a live owner for each service.
-pub(crate) fn agreed(fleet: &Fleet) -> bool {
-    let owner_names = |node: &Node| -> Vec<_> {
+pub(crate) fn owners_agree(fleet: &Fleet) -> bool {
+    let owner_names = |node: &SimulatedInstance| -> Vec<_> {
         let view = node.machine.view();
         let mut services: Vec<_> = view.services.values().collect();
         services.sort_by_key(|service| &service.name);
@@ -104,7 +104,7 @@
     first.iter().all(Option::is_some) && all.all(|other| other == first)
 }
 
-pub(crate) fn assert_caps(fleet: &Fleet) {
+pub(crate) fn assert_connection_limits(fleet: &Fleet) {
     for (server, &largest_total) in &fleet.max_total_shares {
         assert!(
             largest_total <= CONNECTION_LIMIT,
@@ -114,7 +114,7 @@
 }
 
 fn changed_entry(revision: u64, queue: u32) -> Record {
-    publish::record(revision, publish::entry("gate-3", queue))
+    fixtures::record(revision, fixtures::entry("gate-3", queue))
 }
 
 /// An answer of the platform to a watch that contains the change.
@@ -131,12 +131,12 @@
 /// are new to it.
 #[test]
 fn change_spreads_without_the_platform() {
-    let mut fleet = fleet(24, 20);
-    fleet.silence_platform();
+    let mut fleet = ready_fleet(24, 20);
+    fleet.stop_platform();
     fleet.run(Duration::from_secs(1));
-    fleet.give(&name(5), page_with_change(1000, 7));
-    fleet.until("change everywhere", Duration::from_millis(500), |fleet| {
-        in_force(fleet, "gate-3", 7)
+    fleet.handle_event(&name(5), page_with_change(1000, 7));
+    fleet.run_until("change everywhere", Duration::from_millis(500), |fleet| {
+        queue_limit_in_force(fleet, "gate-3", 7)
     });
 }
 
@@ -144,13 +144,15 @@
 /// it.
 #[test]
 fn digests_recover_lost_changes() {
-    let mut fleet = fleet(9, 4);
-    fleet.silence_platform();
-    fleet.island = (0..1).map(name).collect();
-    fleet.give(&name(0), page_with_change(1000, 7));
+    let mut fleet = ready_fleet(9, 4);
+    fleet.stop_platform();
+    fleet.partition_side = (0..1).map(name).collect();
+    fleet.handle_event(&name(0), page_with_change(1000, 7));
     fleet.run(Duration::from_millis(100));
-    fleet.island.clear();
-    fleet.until("change everywhere", Duration::from_secs(7), |fleet| in_force(fleet, "gate-3", 7));
+    fleet.partition_side.clear();
+    fleet.run_until("change everywhere", Duration::from_secs(7), |fleet| {
+        queue_limit_in_force(fleet, "gate-3", 7)
+    });
 }
 
 /// An owner is killed. When its connections break, every other instance moves its services to the
@@ -159,13 +161,13 @@
 #[test]
 fn services_of_a_dead_owner_move_to_the_next_candidate() {
     for (break_links, bound) in [(true, 50), (false, 2500)] {
-        let mut fleet = fleet(9, 20);
+        let mut fleet = ready_fleet(9, 20);
         let dead_owner = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
         fleet.kill(&dead_owner, break_links);
         let bound = Duration::from_millis(bound);
-        fleet.until("moved", bound, |fleet| nobody_uses(fleet, &dead_owner));
-        fleet.until("agreed", BOUND, agreed);
-        assert_caps(&fleet);
+        fleet.run_until("moved", bound, |fleet| owns_nothing(fleet, &dead_owner));
+        fleet.run_until("agreed", TIMEOUT, owners_agree);
+        assert_connection_limits(&fleet);
     }
 }
 
@@ -173,16 +175,16 @@
 /// server.
 #[test]
 fn services_survive_the_loss_of_a_zone() {
-    let mut fleet = fleet(24, 20);
+    let mut fleet = ready_fleet(24, 20);
     let lost_instances: Vec<String> = (0..24).filter(|at| at % 3 == 1).map(name).collect();
     for name in &lost_instances {
         fleet.kill(name, false);
     }
-    fleet.until("moved", Duration::from_secs(5), |fleet| {
-        lost_instances.iter().all(|name| nobody_uses(fleet, name))
+    fleet.run_until("moved", Duration::from_secs(5), |fleet| {
+        lost_instances.iter().all(|name| owns_nothing(fleet, name))
     });
-    fleet.until("agreed", BOUND, agreed);
-    assert_caps(&fleet);
+    fleet.run_until("agreed", TIMEOUT, owners_agree);
+    assert_connection_limits(&fleet);
 }
 
 /// A network partition splits the fleet in two, and the platform answers neither half. Each half
@@ -190,53 +192,57 @@
 /// be in force on all instances.
 #[test]
 fn partitioned_halves_serve_and_then_adopt_the_newer_catalogue() {
-    let mut fleet = fleet(24, 20);
-    fleet.silence_platform();
-    fleet.island = (0..10).map(name).collect();
+    let mut fleet = ready_fleet(24, 20);
+    fleet.stop_platform();
+    fleet.partition_side = (0..10).map(name).collect();
     fleet.run(Duration::from_secs(20));
     for (instance_name, node) in &fleet.nodes {
-        let on_island = fleet.island.contains(instance_name);
+        let on_this_side = fleet.partition_side.contains(instance_name);
         for service in node.machine.view().services.values() {
             let owner = service.owner().expect("an owner on this side");
-            assert_eq!(fleet.island.contains(&*owner.peer.name), on_island, "{instance_name}");
+            assert_eq!(
+                fleet.partition_side.contains(&*owner.peer.name),
+                on_this_side,
+                "{instance_name}"
+            );
         }
     }
-    fleet.give(&name(3), page_with_change(1000, 7));
-    fleet.give(&name(20), page_with_change(1001, 8));
+    fleet.handle_event(&name(3), page_with_change(1000, 7));
+    fleet.handle_event(&name(20), page_with_change(1001, 8));
     fleet.run(Duration::from_secs(5));
     assert_eq!(queue_limit(&fleet.nodes[&name(1)], "gate-3"), Some(7));
-    fleet.island.clear();
-    fleet.until("newer everywhere", BOUND, |fleet| in_force(fleet, "gate-3", 8));
-    fleet.until("agreed", BOUND, agreed);
-    assert_caps(&fleet);
+    fleet.partition_side.clear();
+    fleet.run_until("newer everywhere", TIMEOUT, |fleet| queue_limit_in_force(fleet, "gate-3", 8));
+    fleet.run_until("agreed", TIMEOUT, owners_agree);
+    assert_connection_limits(&fleet);
 }
 
 /// An instance drains. All others must stop giving it work long before the platform lists it as
 /// leaving.
 #[test]
 fn draining_instance_gets_no_new_work() {
-    let mut fleet = fleet(24, 20);
-    fleet.silence_platform();
+    let mut fleet = ready_fleet(24, 20);
+    fleet.stop_platform();
     let leaving = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
-    fleet.give(&leaving, Event::Drain);
-    fleet.until("left", Duration::from_secs(1), |fleet| nobody_uses(fleet, &leaving));
+    fleet.handle_event(&leaving, Event::Drain);
+    fleet.run_until("left", Duration::from_secs(1), |fleet| owns_nothing(fleet, &leaving));
     fleet.run(Duration::from_secs(10));
-    assert!(nobody_uses(&fleet, &leaving), "the instance must not get work again");
+    assert!(owns_nothing(&fleet, &leaving), "the instance must not get work again");
 }
 
 /// One instance sees that a server is leaving while the platform is down. Soon all instances must
 /// know it, even those that were cut off meanwhile.
 #[test]
 fn leaving_server_is_known_to_all_instances() {
-    let mut fleet = fleet(9, 4);
-    fleet.silence_platform();
-    fleet.island = (0..2).map(name).collect();
+    let mut fleet = ready_fleet(9, 4);
+    fleet.stop_platform();
+    fleet.partition_side = (0..2).map(name).collect();
     let seen = Event::ServerLeaving { server: "gate-0-1".into(), incarnation: 1 };
-    fleet.give(&name(5), seen);
+    fleet.handle_event(&name(5), seen);
     fleet.run(Duration::from_secs(2));
-    fleet.island.clear();
-    fleet.until("known", Duration::from_secs(15), |fleet| {
-        let lists_server_as_leaving = |node: &Node| {
+    fleet.partition_side.clear();
+    fleet.run_until("known", Duration::from_secs(15), |fleet| {
+        let lists_server_as_leaving = |node: &SimulatedInstance| {
             let view = node.machine.view();
             let service = view.service("gate-0").expect("known");
             service.servers[1].leaving && !service.servers[0].leaving
@@ -249,16 +255,16 @@
 /// queued. It must not declare the others dead, and soon all must consider it alive again.
 #[test]
 fn paused_process_rejoins_without_declaring_others_dead() {
-    let mut fleet = fleet(9, 20);
+    let mut fleet = ready_fleet(9, 20);
     let paused = owner_name(&fleet.nodes[&name(0)], "gate-0").expect("owned");
     fleet.pause(&paused);
     fleet.run(Duration::from_secs(30));
-    assert!(nobody_uses(&fleet, &paused));
+    assert!(owns_nothing(&fleet, &paused));
     fleet.resume(&paused, Duration::from_secs(30));
     let mut members = fleet.nodes[&*paused].machine.members();
     assert!(members.all(|member| member.liveness == Liveness::Alive));
     drop(members);
-    fleet.until("agreed", Duration::from_secs(5), agreed);
+    fleet.run_until("agreed", Duration::from_secs(5), owners_agree);
     assert_eq!(owner_name(&fleet.nodes[&name(0)], "gate-0"), Some(paused));
 }
 
@@ -266,19 +272,19 @@
 /// records, and neither it nor they may go back to the old ones.
 #[test]
 fn stale_platform_does_not_restore_old_records() {
-    let mut fleet = fleet(9, 4);
+    let mut fleet = ready_fleet(9, 4);
     fleet.publish([
         changed_entry(1000, 7),
-        publish::record(1001, publish::tombstone(Kind::Entry, "gate-0")),
+        fixtures::record(1001, fixtures::tombstone(Kind::Entry, "gate-0")),
     ]);
     fleet.run(Duration::from_secs(5));
-    fleet.silence_platform();
+    fleet.stop_platform();
     fleet.restore_platform(500);
     fleet.kill(&name(2), true);
     fleet.incarnation = 2;
-    fleet.seeds = (0..9).map(|at| publish::address(&name(at))).collect();
+    fleet.seeds = (0..9).map(|at| fixtures::address(&name(at))).collect();
     fleet.start(&name(2), zone(2));
-    fleet.until("ready", BOUND, all_ready);
+    fleet.run_until("ready", TIMEOUT, all_ready);
     fleet.run(Duration::from_secs(30));
     for node in fleet.nodes.values() {
         assert_eq!(queue_limit(node, "gate-3"), Some(7));
@@ -291,8 +297,8 @@
 /// instance, not only when they have forgotten its predecessor.
 #[test]
 fn restart_with_clock_set_back_is_alive_to_peers_soon() {
-    let mut fleet = fleet(9, 4);
-    fleet.seeds = vec![publish::address(&name(0))];
+    let mut fleet = ready_fleet(9, 4);
+    fleet.seeds = vec![fixtures::address(&name(0))];
     for incarnation in [9, 2] {
         fleet.kill(&name(2), true);
         fleet.incarnation = incarnation;
@@ -310,11 +316,11 @@
 /// A new process starts while the platform is down. Its peers must send it all records.
 #[test]
 fn new_instance_gets_all_records_from_peers() {
-    let mut fleet = fleet(9, 4);
-    fleet.silence_platform();
-    fleet.seeds = vec![publish::address(&name(0))];
+    let mut fleet = ready_fleet(9, 4);
+    fleet.stop_platform();
+    fleet.seeds = vec![fixtures::address(&name(0))];
     fleet.start(&name(50), zone(50));
-    fleet.until("ready", Duration::from_secs(5), all_ready);
+    fleet.run_until("ready", Duration::from_secs(5), all_ready);
     let view = Arc::clone(fleet.nodes[&name(50)].machine.view());
     assert_eq!(view.services.len(), 4);
     let mut servers = view.services.values().flat_map(|service| &service.servers);
@@ -325,14 +331,14 @@
 #[test]
 fn start_without_any_source_is_never_ready() {
     let mut fleet = Fleet::new();
-    fleet.silence_platform();
-    fleet.seeds = vec![publish::address("entry-7")];
+    fleet.stop_platform();
+    fleet.seeds = vec![fixtures::address("entry-7")];
     fleet.start(&name(0), zone(0));
     fleet.run(Duration::from_secs(120));
     let node = &fleet.nodes[&name(0)];
     assert!(!node.machine.view().ready);
-    assert!(node.reads >= 8, "{} reads", node.reads);
-    assert!(node.sent >= 100, "{} frames", node.sent);
+    assert!(node.platform_reads >= 8, "{} reads", node.platform_reads);
+    assert!(node.frames_sent >= 100, "{} frames", node.frames_sent);
 }
 
 /// In an idle fleet, neither the number of frames per instance nor the number of reads of the
@@ -340,10 +346,11 @@
 #[test]
 fn idle_cost_per_instance_does_not_grow_with_the_fleet() {
     let frames_and_reads = |count: usize| {
-        let mut fleet = fleet(count, 8);
+        let mut fleet = ready_fleet(count, 8);
         fleet.run(Duration::from_secs(30));
-        let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.sent).sum::<usize>();
-        let reads = |fleet: &Fleet| fleet.nodes.values().map(|node| node.reads).sum::<usize>();
+        let sent = |fleet: &Fleet| fleet.nodes.values().map(|node| node.frames_sent).sum::<usize>();
+        let reads =
+            |fleet: &Fleet| fleet.nodes.values().map(|node| node.platform_reads).sum::<usize>();
         let (sent_before, reads_before) = (sent(&fleet), reads(&fleet));
         fleet.run(Duration::from_secs(10));
         (sent(&fleet) - sent_before, reads(&fleet) - reads_before)
--- a/crates/core/tests/fleet/store.rs
+++ b/crates/core/tests/fleet/store.rs
@@ -4,7 +4,7 @@
 use ladder_core::schema::catalogue::{Entry, Limits};
 use ladder_core::schema::publication::{Kind, Record, State, record::Body};
 
-use crate::publish::{entry, index, instance, operation, record, server, tombstone};
+use crate::fixtures::{entry, index, instance, operation, record, server, tombstone};
 
 /// Kind of outcome that a step of a case must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
