--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -9,8 +9,9 @@
 //! # Bounds
 //!
 //! A quarantined request that no caller sends any more is forgotten after [`RETENTION`]. If it is
-//! sent again later, it crashes up to one server of each of its shards before it is refused again.
-//! The same applies to state lost because all instances were lost at once, and to requests beyond
+//! sent again later, it crashes up to one server of each of its shards before it is refused again,
+//! because all portions of a sweep are sent at once, before the third crash is known. The same
+//! applies to state lost because all instances were lost at once, and to requests beyond
 //! [`MAX_REQUESTS`].
 
 use std::sync::Arc;
--- a/crates/core/tests/fleet/random_failures.rs
+++ b/crates/core/tests/fleet/random_failures.rs
@@ -125,7 +125,7 @@
 }
 
 /// In random order, links are cut and restored, instances killed and restarted, the platform
-/// silenced, entries changed, servers reported as leaving and an instance withdrawn. The shares of
+/// stopped, entries changed, servers reported as leaving and an instance withdrawn. The shares of
 /// a server must never exceed its connection limit, and soon after the failures end every instance
 /// must have the newest records.
 #[test]
