--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -12,7 +12,7 @@
 use super::belief::Belief;
 use super::hash::{self, Random};
 use super::membership::{Member, Membership, Standing};
-use super::project::{Projection, Source, Standings};
+use super::project::{Projection, Standings, ViewInputs};
 use super::quarantine::{Cause, Change, Entry, Quarantine};
 use super::reader::{self, Reader, ReaderRank};
 use super::settings::{Listing, Settings};
@@ -26,7 +26,7 @@
 
 /// Number of random peers that a change is sent to at once.
 const BROADCAST_FANOUT: usize = 4;
-/// Number of random peers that receive gossip updates at each probe, besides the neighbours.
+/// Number of random peers that receive gossip updates at each probe, besides the probed members.
 const GOSSIP_FANOUT: usize = 2;
 /// Number of peers that this instance notifies directly when it leaves.
 const LEAVE_NOTICE_FANOUT: usize = 32;
@@ -164,27 +164,27 @@
             }
             Event::Crashed { incarnation, at, requests } => {
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.crashed(now, incarnation, at, &requests)
+                    quarantine.record_crash(now, incarnation, at, &requests)
                 });
             }
             Event::Refuted(incarnation) => {
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.refuted(now, &incarnation)
+                    quarantine.record_refutation(now, &incarnation)
                 });
             }
             Event::Cleared(request) => {
                 let cause = Cause::Answer;
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.cleared(now, request, cause)
+                    quarantine.clear(now, request, cause)
                 });
             }
             Event::Released(request) => {
                 let cause = Cause::Operator;
                 self.update_quarantine(now, "", out, |quarantine| {
-                    quarantine.cleared(now, request, cause)
+                    quarantine.clear(now, request, cause)
                 });
             }
-            Event::Asked(request) => self.quarantine.asked(now, request),
+            Event::Asked(request) => self.quarantine.renew(now, request),
             Event::Seeds(seeds) => self.settings.seeds = seeds,
             Event::Paused(_) => self.handle_pause(now, out),
             Event::Drain => self.drain(now, out),
@@ -283,7 +283,7 @@
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.timing.probe;
             self.membership.tick(now);
-            self.probe_neighbours(out);
+            self.probe_members(out);
             self.gossip(out);
         }
         if now >= self.next_digest_at {
@@ -320,7 +320,7 @@
         if members_changed {
             self.log_member_changes(&standings, out);
         }
-        let source = Source {
+        let inputs = ViewInputs {
             standings,
             quarantine: self.quarantine.view(),
             store: &self.store,
@@ -328,13 +328,14 @@
             settings: &self.settings,
             now,
         };
-        if let Some(view) = self.projection.refresh(&source, changes, ready) {
+        if let Some(view) = self.projection.refresh(&inputs, changes, ready) {
             out.push(Action::View(view));
         }
         let next_growth = self.projection.next_growth(&self.settings);
         let next_settled = self.membership.next_settled(now);
-        let next_order = self.projection.next_order(&self.settings);
-        self.next_view_at = [next_growth, next_order, next_settled].into_iter().flatten().min();
+        let next_order_change = self.projection.next_order_change(&self.settings);
+        self.next_view_at =
+            [next_growth, next_order_change, next_settled].into_iter().flatten().min();
     }
 
     /// Logs the instances whose standing differs from the last view.
@@ -364,9 +365,9 @@
     /// The current view, rebuilt in full from the records and from the state that depends on
     /// earlier events. Except for generation and keys, it equals [`Machine::view`], which is
     /// updated incrementally.
-    pub fn rebuilt(&self, now: Instant) -> View {
-        let store = self.store.rebuilt();
-        let source = Source {
+    pub fn rebuilt_view(&self, now: Instant) -> View {
+        let store = self.store.rebuilt_store();
+        let inputs = ViewInputs {
             standings: self.standings(now, true),
             quarantine: self.quarantine.view(),
             store: &store,
@@ -374,7 +375,7 @@
             settings: &self.settings,
             now,
         };
-        self.projection.whole(&source, self.view().ready)
+        self.projection.build_whole(&inputs, self.view().ready)
     }
 
     fn can_become_ready(&self, now: Instant) -> bool {
@@ -427,14 +428,14 @@
             })
         }));
         let mut frame = self.own_frame();
-        self.quarantine.write(now, &mut frame);
+        self.quarantine.write_to_frame(now, &mut frame);
         for peer in self.random_peers(BROADCAST_FANOUT) {
             peer.send(frame.clone(), out);
         }
     }
 
     fn handle_pause(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.membership.resumed(now);
+        self.membership.restart_silence_periods(now);
         self.reader.resumed(now);
         for peer in self.random_peers(BROADCAST_FANOUT) {
             self.send_digest(now, &peer, out);
@@ -443,7 +444,7 @@
 
     fn drain(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.membership.leave(now);
-        let updates = vec![self.membership.own().as_rumour()];
+        let updates = vec![self.membership.own().to_gossip_update()];
         for peer in self.random_peers(LEAVE_NOTICE_FANOUT) {
             let frame = self.own_frame();
             peer.send(Frame { rumours: updates.clone(), ..frame }, out);
--- a/crates/core/src/control/machine/records.rs
+++ b/crates/core/src/control/machine/records.rs
@@ -11,7 +11,7 @@
 use crate::collections::Set;
 use crate::control::Action;
 use crate::control::belief::Belief;
-use crate::control::spread::News;
+use crate::control::broadcast::PendingChanges;
 use crate::control::store::{Key, Outcome};
 use crate::control::withdrawal;
 use crate::count::{self, Count};
@@ -64,7 +64,7 @@
     }
 
     /// Logs the records that came into force, and the peer that sent them, if any.
-    pub(super) fn log_records(&self, changes: &News, from: &str, out: &mut Vec<Action>) {
+    pub(super) fn log_records(&self, changes: &PendingChanges, from: &str, out: &mut Vec<Action>) {
         let Some(newest) = changes.records.iter().map(|record| record.revision).max() else {
             return;
         };
@@ -123,7 +123,8 @@
         records: Vec<Record>,
         out: &mut Vec<Action>,
     ) -> Vec<Record> {
-        let live = self.store.servers().filter(|server| !self.store.departed(server)).count();
+        let live =
+            self.store.servers().filter(|server| !self.store.is_marked_leaving(server)).count();
         let withdraws_live =
             |record: &Record| is_tombstone(record) && self.is_live(&Key::of(record));
         let count = records.iter().filter(|record| withdraws_live(record)).count();
@@ -141,7 +142,8 @@
     /// Whether the key belongs to a published server that no source has reported as leaving.
     fn is_live(&self, key: &Key) -> bool {
         let server = self.store.server(&key.name);
-        key.kind == Kind::Server && server.is_some_and(|server| !self.store.departed(server))
+        key.kind == Kind::Server
+            && server.is_some_and(|server| !self.store.is_marked_leaving(server))
     }
 
     /// Applies records and returns those that changed the store.
@@ -150,8 +152,8 @@
         now: Instant,
         records: &[Record],
         out: &mut Vec<Action>,
-    ) -> News {
-        let mut changes = News::default();
+    ) -> PendingChanges {
+        let mut changes = PendingChanges::default();
         let mut instances_changed = false;
         for record in records {
             self.withdrawals.drop_superseded(&Key::of(record), record.revision);
@@ -194,8 +196,8 @@
         self.broadcast(now, &changes, "", out);
     }
 
-    pub(super) fn apply_departures(&mut self, departures: Vec<Departure>) -> News {
-        let mut changes = News::default();
+    pub(super) fn apply_departures(&mut self, departures: Vec<Departure>) -> PendingChanges {
+        let mut changes = PendingChanges::default();
         for departure in departures {
             if self.store.mark_leaving(&departure.server, departure.incarnation) {
                 changes.departures.push(departure);
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -9,8 +9,9 @@
 //! # Bounds
 //!
 //! A quarantined request that no caller sends any more is forgotten after [`RETENTION`]. If it is
-//! sent again later, it crashes up to one server of each of its shards before it is refused again.
-//! The same applies to state lost because all instances were lost at once, and to requests beyond
+//! sent again later, it crashes up to one server of each of its shards before it is refused again,
+//! because all portions of a sweep are sent at once, before the third crash is known. The same
+//! applies to state lost because all instances were lost at once, and to requests beyond
 //! [`MAX_REQUESTS`].
 
 use std::sync::Arc;
@@ -153,7 +154,7 @@
     }
 
     /// Records that a server crashed while these requests were open there.
-    pub(super) fn crashed(
+    pub(super) fn record_crash(
         &mut self,
         now: Instant,
         incarnation: Incarnation,
@@ -165,7 +166,11 @@
     }
 
     /// Marks the crash of an incarnation as refuted, because the incarnation is still running.
-    pub(super) fn refuted(&mut self, now: Instant, incarnation: &Incarnation) -> Vec<Change> {
+    pub(super) fn record_refutation(
+        &mut self,
+        now: Instant,
+        incarnation: &Incarnation,
+    ) -> Vec<Change> {
         if let Some(crash) = self.crashes.get_mut(incarnation) {
             crash.refuted = true;
         }
@@ -173,7 +178,7 @@
     }
 
     /// Clears a request that a server answered or that an operator releases.
-    pub(super) fn cleared(
+    pub(super) fn clear(
         &mut self,
         now: Instant,
         request: Fingerprint,
@@ -191,7 +196,7 @@
     }
 
     /// Renews the entry of a quarantined request that a caller sent again.
-    pub(super) fn asked(&mut self, now: Instant, request: Fingerprint) {
+    pub(super) fn renew(&mut self, now: Instant, request: Fingerprint) {
         let entry = self.entries.get_mut(&request);
         if let Some(entry) = entry.filter(|entry| entry.standing == Standing::Quarantined) {
             entry.seen = now;
@@ -436,7 +441,7 @@
     }
 
     /// Writes all crashes and quarantine entries into a frame.
-    pub(super) fn write(&self, now: Instant, frame: &mut Frame) {
+    pub(super) fn write_to_frame(&self, now: Instant, frame: &mut Frame) {
         let crashes = self.crashes.iter().map(|(incarnation, crash)| wire::Crash {
             server: incarnation.server.to_string(),
             incarnation: incarnation.number,
--- a/crates/core/tests/fleet/membership.rs
+++ b/crates/core/tests/fleet/membership.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use ladder_core::control::Settings;
-use ladder_core::control::membership::{Life, Membership, Standing};
+use ladder_core::control::membership::{FrameEffect, Membership, Standing};
 use ladder_core::schema::publication::{Instance, State, record::Body};
 use ladder_core::schema::wire::{Liveness, Rumour};
 use ladder_core::time::Instant;
 
-use crate::publish;
+use crate::fixtures;
 
 const OWN: &str = "entry-0";
 
@@ -21,7 +21,7 @@
 impl Fixture {
     fn new(peers: usize) -> Self {
         let settings =
-            Settings::builder(OWN, &publish::address(OWN)).zone("trindade").incarnation(5).build();
+            Settings::builder(OWN, &fixtures::address(OWN)).zone("trindade").incarnation(5).build();
         let now = Instant::from_millis(1000);
         let mut membership = Membership::new(&settings, now);
         let published: Vec<Instance> =
@@ -34,9 +34,9 @@
         fixture
     }
 
-    fn receive_frame(&mut self, number: usize, incarnation: u64) -> Life {
-        let frame = publish::frame(&format!("entry-{number}"), "trindade", incarnation);
-        self.membership.heard(self.now, &frame)
+    fn receive_frame(&mut self, number: usize, incarnation: u64) -> FrameEffect {
+        let frame = fixtures::frame(&format!("entry-{number}"), "trindade", incarnation);
+        self.membership.receive_frame(self.now, &frame)
     }
 
     /// Advances time in ticks; at each tick a frame of every peer in `speaking` is received.
@@ -67,18 +67,18 @@
         liveness: Liveness,
     ) {
         let (name, version) = (format!("entry-{number}"), (incarnation, refutation));
-        let rumour = publish::rumour(&name, "trindade", version, liveness);
-        self.membership.rumour(self.now, &rumour);
+        let rumour = fixtures::gossip_update(&name, "trindade", version, liveness);
+        self.membership.apply_update(self.now, &rumour);
     }
 
     fn own_update(&mut self) -> Option<Rumour> {
-        let rumours = self.membership.take_rumours(false);
+        let rumours = self.membership.take_gossip(false);
         rumours.into_iter().find(|rumour| rumour.name == OWN)
     }
 }
 
 fn published_instance(number: usize, state: State) -> Instance {
-    match publish::instance(&format!("entry-{number}"), "trindade", state) {
+    match fixtures::instance(&format!("entry-{number}"), "trindade", state) {
         Body::Instance(instance) => instance,
         _ => unreachable!("built as an instance"),
     }
@@ -131,12 +131,12 @@
 fn received_frame_ends_the_withholding_of_suspicions() {
     let mut fixture = Fixture::new(6);
     fixture.advance(500, &[1, 2, 3, 4, 5, 6]);
-    let neighbours: Vec<String> =
-        fixture.membership.neighbours().map(|m| m.name.to_string()).collect();
+    let targets: Vec<String> =
+        fixture.membership.probe_targets().map(|m| m.name.to_string()).collect();
     let speaking: Vec<usize> =
-        (1..=6).filter(|at| !neighbours.contains(&format!("entry-{at}"))).collect();
+        (1..=6).filter(|at| !targets.contains(&format!("entry-{at}"))).collect();
     fixture.advance(1750, &speaking);
-    for name in &neighbours {
+    for name in &targets {
         let member = fixture.membership.get(name).expect("known");
         assert_eq!(member.liveness, Liveness::Suspect, "{name}");
     }
@@ -173,7 +173,7 @@
     fixture.advance(500, &[1, 2, 3]);
     fixture.membership.link_down(fixture.now, "entry-3");
     fixture.now = fixture.now + Duration::from_secs(30);
-    fixture.membership.resumed(fixture.now);
+    fixture.membership.restart_silence_periods(fixture.now);
     fixture.advance(500, &[]);
     assert_eq!(fixture.liveness_of([1, 2]), [Liveness::Alive; 2]);
     fixture.advance(250, &[1, 2]);
@@ -266,8 +266,11 @@
 fn late_frame_does_not_revive_a_dead_member() {
     let mut fixture = Fixture::new(3);
     fixture.receive_update(2, 1, 0, Liveness::Dead);
-    let life = fixture.receive_frame(2, 1);
-    assert!(matches!(life, Life::Doubted(_)), "the sender must be notified: {life:?}");
+    let effect = fixture.receive_frame(2, 1);
+    assert!(
+        matches!(effect, FrameEffect::MustRefute(_)),
+        "the sender must be notified: {effect:?}"
+    );
     assert_eq!(fixture.liveness(2), Liveness::Suspect);
     fixture.advance(1250, &[1, 3]);
     assert_eq!(fixture.liveness(2), Liveness::Dead);
@@ -282,9 +285,9 @@
 fn new_generation_replaces_the_old_one() {
     let mut fixture = Fixture::new(3);
     fixture.receive_update(2, 1, 0, Liveness::Dead);
-    assert_eq!(fixture.receive_frame(2, 2), Life::Joined);
+    assert_eq!(fixture.receive_frame(2, 2), FrameEffect::NewMember);
     assert_eq!(fixture.liveness(2), Liveness::Alive);
-    let Life::Outlived(rumour) = fixture.receive_frame(2, 1) else {
+    let FrameEffect::StaleGeneration(rumour) = fixture.receive_frame(2, 1) else {
         panic!("a frame of the old process was accepted");
     };
     assert_eq!((rumour.generation, rumour.liveness()), (2, Liveness::Alive));
@@ -303,7 +306,7 @@
         address: String,
         becomes: (u64, u32),
     }
-    let own = publish::address(OWN);
+    let own = fixtures::address(OWN);
     let case = |generation, liveness, address: &str, becomes| Case {
         generation,
         liveness,
@@ -320,9 +323,9 @@
     ];
     for Case { generation, liveness, address, becomes } in cases {
         let mut fixture = Fixture::new(3);
-        let received = publish::rumour(OWN, "trindade", (generation, 3), liveness);
+        let received = fixtures::gossip_update(OWN, "trindade", (generation, 3), liveness);
         let description = format!("{generation} {liveness:?} at {address}");
-        fixture.membership.rumour(fixture.now, &Rumour { address, ..received });
+        fixture.membership.apply_update(fixture.now, &Rumour { address, ..received });
         let own = fixture.membership.own();
         assert_eq!((own.generation, own.refutation), becomes, "{description}");
         assert_eq!(own.liveness, Liveness::Alive, "{description}");
--- a/crates/core/tests/fleet/store.rs
+++ b/crates/core/tests/fleet/store.rs
@@ -4,7 +4,7 @@
 use ladder_core::schema::catalogue::{Entry, Limits};
 use ladder_core::schema::publication::{Kind, Record, State, record::Body};
 
-use crate::publish::{entry, index, instance, operation, record, server, tombstone};
+use crate::fixtures::{entry, index, instance, operation, record, server, tombstone};
 
 /// Kind of outcome that a step of a case must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -201,7 +201,7 @@
 fn leaving_state_lasts_until_a_new_incarnation() {
     let is_leaving = |store: &Store| {
         let server = store.server("gate-1-0").expect("published");
-        store.departed(server)
+        store.is_marked_leaving(server)
     };
     let published = |revision, incarnation, state| {
         record(revision, server("gate-1-0", "gate-1", incarnation, state))
