--- a/crates/load/src/admin.rs
+++ b/crates/load/src/admin.rs
@@ -1,4 +1,5 @@
-//! The operators' interfaces of the stand-ins: ledgers, faults, publications.
+//! Client for the operator interfaces of the stand-ins: reads ledgers, sets faults and publishes
+//! records.
 
 use std::time::Duration;
 
@@ -10,20 +11,20 @@
 use crate::error::Error;
 use crate::layout::{self, Layout};
 
-/// Bytes of the largest ledger that is read.
-const LEDGER_BYTES: usize = 1 << 30;
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Largest response body that the client reads, in bytes; ledgers are the largest responses.
+const MAX_BODY_BYTES: usize = 1 << 30;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections of one server.
+/// Connection peak of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Peak {
-    /// Most that were open at once.
+    /// Largest number of simultaneous connections of the server.
     pub connections: u32,
-    /// Its limit.
+    /// Connection limit of the server.
     pub limit: u32,
 }
 
-/// A client for the operators' interfaces.
+/// HTTP client for the operator interfaces.
 #[derive(Clone)]
 pub struct Admin {
     client: Client,
@@ -31,13 +32,13 @@
 
 impl Default for Admin {
     fn default() -> Self {
-        let client = Client::builder().timeout(TIMEOUT).finish();
+        let client = Client::builder().timeout(REQUEST_TIMEOUT).finish();
         Self { client }
     }
 }
 
 impl Admin {
-    /// Reads the ledgers of all processes; one that answers nothing fails the read.
+    /// Reads the ledgers of all target processes; fails if one process does not answer.
     pub async fn ledgers(&self, layout: &Layout) -> Result<Vec<standin::Ledger>, Error> {
         let mut ledgers = Vec::new();
         for process in &layout.processes {
@@ -46,12 +47,13 @@
         Ok(ledgers)
     }
 
-    /// The most connections that each server had open at once, without its executions.
+    /// Reads the largest number of simultaneous connections of each server. The requests ask for no
+    /// execution records, to keep the responses small.
     pub async fn peaks(&self, layout: &Layout) -> Result<Vec<Peak>, Error> {
         let mut peaks = Vec::new();
         for process in &layout.processes {
             for target in &process.targets {
-                let server = layout::server(target);
+                let server = layout::published_server(target);
                 let path = format!("/admin/ledger?server={}&least={}", server.name, u32::MAX);
                 let ledger: standin::Ledger = self.get(&process.admin, &path).await?;
                 peaks
@@ -61,7 +63,7 @@
         Ok(peaks)
     }
 
-    /// Replaces the faults in force at a server.
+    /// Replaces the active faults of a server.
     pub async fn set_fault(
         &self,
         process: &str,
@@ -72,7 +74,8 @@
         self.post(process, &path, fault).await
     }
 
-    /// Publishes records through the platform; one without a revision gets the next one.
+    /// Publishes records through the platform stand-in, which assigns the next revision to records
+    /// without one.
     pub async fn publish(
         &self,
         platform: &str,
@@ -82,45 +85,45 @@
         self.post(platform, "/admin/publish", &page).await
     }
 
-    /// Reads a JSON answer.
+    /// Sends a GET request and decodes the JSON response.
     pub async fn get<T: DeserializeOwned>(&self, address: &str, path: &str) -> Result<T, Error> {
-        let body = self.body(address, path).await?;
-        let failed = |cause: String| Error::Admin(format!("http://{address}{path}"), cause);
-        serde_json::from_slice(&body).map_err(|error| failed(error.to_string()))
+        let body = self.fetch(address, path).await?;
+        let admin_error = |cause: String| Error::Admin(format!("http://{address}{path}"), cause);
+        serde_json::from_slice(&body).map_err(|error| admin_error(error.to_string()))
     }
 
-    /// Reads an answer as text.
+    /// Sends a GET request and returns the response body as text.
     pub async fn text(&self, address: &str, path: &str) -> Result<String, Error> {
-        let body = self.body(address, path).await?;
+        let body = self.fetch(address, path).await?;
         Ok(String::from_utf8_lossy(&body).into_owned())
     }
 
-    async fn body(&self, address: &str, path: &str) -> Result<Vec<u8>, Error> {
+    async fn fetch(&self, address: &str, path: &str) -> Result<Vec<u8>, Error> {
         let url = format!("http://{address}{path}");
-        let failed = |cause: String| Error::Admin(url.clone(), cause);
+        let admin_error = |cause: String| Error::Admin(url.clone(), cause);
         let mut response =
-            self.client.get(&url).send().await.map_err(|error| failed(error.to_string()))?;
+            self.client.get(&url).send().await.map_err(|error| admin_error(error.to_string()))?;
         if !response.status().is_success() {
-            return Err(failed(response.status().to_string()));
+            return Err(admin_error(response.status().to_string()));
         }
-        let body = response.body().limit(LEDGER_BYTES).await;
-        let body = body.map_err(|error| failed(error.to_string()))?;
+        let body = response.body().limit(MAX_BODY_BYTES).await;
+        let body = body.map_err(|error| admin_error(error.to_string()))?;
         Ok(body.to_vec())
     }
 
     async fn post<T: Serialize>(&self, address: &str, path: &str, body: &T) -> Result<(), Error> {
         let url = format!("http://{address}{path}");
-        let failed = |cause: String| Error::Admin(url.clone(), cause);
+        let admin_error = |cause: String| Error::Admin(url.clone(), cause);
         let response = self
             .client
             .post(&url)
             .send_json(body)
             .await
-            .map_err(|error| failed(error.to_string()))?;
+            .map_err(|error| admin_error(error.to_string()))?;
         if response.status().is_success() {
             Ok(())
         } else {
-            Err(failed(response.status().to_string()))
+            Err(admin_error(response.status().to_string()))
         }
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,9 +1,10 @@
-//! Sends scheduled queries on time, through all instances in turn like a balancer.
+//! Sends scheduled queries on time and distributes them round-robin over the instances, as a load
+//! balancer does.
 //!
-//! Each thread has a runtime, a connection pool and its own slice of the schedule. A query is sent
-//! by a task of its own, so that none waits for another's answer, and its latency counts from the
-//! scheduled time: a delay of this tool or of a full backlog shows in the figures. Timers are
-//! exact to a millisecond.
+//! Each thread has an async runtime, a connection pool and its own part of the schedule. Each query
+//! runs in its own task, so that no query waits for the answer to another. Latency counts from the
+//! scheduled time, so it includes delays in this tool and in a full listen backlog. Timers are
+//! accurate to one millisecond.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -13,96 +14,99 @@
 use ladder_core::collections::Set;
 use ladder_schema::call;
 
-use crate::check::{self, Asked, Mistake};
+use crate::check::{self, Mistake, SentQuery};
 use crate::plan::Plan;
 use crate::rotation::Rotation;
 use crate::schedule::Arrival;
 
-/// How long after its deadline an answer may still arrive.
-pub const GRACE: Duration = Duration::from_secs(1);
+/// How long after the deadline of a query the caller still accepts its answer.
+pub const ANSWER_GRACE: Duration = Duration::from_secs(1);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Shorter than the servers' own idle limit, so that no request is written to a connection that
-/// the other end is about to close: such a request would count as lost.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Idle time after which the client closes a connection. It is shorter than the idle timeout of the
+/// servers, so that no request is written to a connection that the server is about to close: such a
+/// request would count as lost.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// What a caller got in the end.
+/// Final result of a query, as the caller sees it.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// An answer or refusal.
+    /// The response was an answer or a refusal.
     Answered {
         /// HTTP status.
         status: u16,
-        /// The answer without the bodies of its parts, which have been checked.
+        /// Answer without the bodies of its parts, which are checked before they are removed.
         answer: Box<call::Answer>,
-        /// What is untrue in it.
+        /// Mistakes found in the answer.
         mistakes: Vec<Mistake>,
     },
-    /// A response that is no answer.
+    /// The response body could not be decoded as an answer.
     Undecodable {
         /// HTTP status.
         status: u16,
     },
-    /// Nothing: the connection broke, no instance accepted it, or the time ran out.
+    /// No response: the connection broke, no instance accepted a connection, or the caller's
+    /// timeout expired.
     Lost {
-        /// What the last attempt met.
+        /// Error of the last attempt.
         cause: String,
     },
 }
 
-/// One query and what became of it.
+/// Query that was sent, with its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Position of its class in the plans.
+    /// Position of the query's class in the list of plans.
     pub class: usize,
-    /// Request key.
+    /// Request key of the query.
     pub key: String,
-    /// Positions of its shards in the plan.
+    /// Positions of the query's shards in the plan of its class.
     pub shards: Vec<usize>,
-    /// Scheduled time after the start.
-    pub at: Duration,
-    /// From the scheduled time to the end of the answer.
+    /// Scheduled send time, counted from the start of the schedule.
+    pub start_offset: Duration,
+    /// Time from the scheduled send time to the end of the response.
     pub latency: Duration,
-    /// Requests that were written or may have been.
+    /// Number of requests for this query that were written or may have been written.
     pub attempts: u32,
-    /// Instances that refused the connection.
-    pub refusals: u32,
-    /// The outcome.
+    /// Number of connection attempts that instances refused for this query.
+    pub connection_refusals: u32,
+    /// Outcome of the query.
     pub outcome: Outcome,
 }
 
-/// How queries are sent.
+/// Settings for sending queries.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Addresses of the instances.
+    /// Addresses of the instances that receive the queries.
     pub instances: Vec<String>,
-    /// Start of the request keys.
-    pub prefix: String,
-    /// A query that was lost is asked once more through another instance.
+    /// Common prefix of all request keys of the run.
+    pub key_prefix: String,
+    /// Whether a lost query is sent once more, through another instance.
     pub retries: bool,
-    /// Instances are asked whether they are ready, as the platform's balancer does.
-    pub checks: bool,
-    /// Start of the schedule.
+    /// Whether the health of each instance is checked, as the platform's load balancer does.
+    pub health_checks: bool,
+    /// Start time of the schedule.
     pub start: Instant,
 }
 
-/// Sends `arrivals` and returns a record of each; runs inside an actix system.
+/// Sends the queries in `arrivals` and returns a record of each; must run inside an actix system.
 pub async fn send(plans: Rc<[Plan]>, arrivals: Vec<Arrival>, options: Options) -> Vec<Record> {
     let rotation = Rotation::new(&options.instances);
-    let checks = options.checks.then(|| actix_rt::spawn(rotation.clone().check()));
+    let health_check_task =
+        options.health_checks.then(|| actix_rt::spawn(rotation.clone().run_health_checks()));
     let caller = Rc::new(Caller::new(plans, options, rotation));
-    let mut open = Vec::with_capacity(arrivals.len());
+    let mut tasks = Vec::with_capacity(arrivals.len());
     for arrival in arrivals {
-        let due = caller.options.start + arrival.at;
-        tokio::time::sleep_until(due.into()).await;
+        let scheduled_time = caller.options.start + arrival.start_offset;
+        tokio::time::sleep_until(scheduled_time.into()).await;
         let caller = Rc::clone(&caller);
-        open.push(actix_rt::spawn(async move { caller.query(arrival).await }));
+        tasks.push(actix_rt::spawn(async move { caller.query(arrival).await }));
     }
-    let mut records = Vec::with_capacity(open.len());
-    for task in open {
+    let mut records = Vec::with_capacity(tasks.len());
+    for task in tasks {
         records.extend(task.await);
     }
-    checks.iter().for_each(actix_rt::task::JoinHandle::abort);
+    health_check_task.iter().for_each(actix_rt::task::JoinHandle::abort);
     records
 }
 
@@ -113,7 +117,7 @@
     rotation: Rotation,
 }
 
-/// What one attempt at one instance gave.
+/// Result of sending a query to one instance.
 enum Attempt {
     Refused(String),
     Broken(String),
@@ -123,62 +127,66 @@
 impl Caller {
     fn new(plans: Rc<[Plan]>, options: Options, rotation: Rotation) -> Self {
         let connector =
-            Connector::new().limit(0).timeout(CONNECT_TIMEOUT).conn_keep_alive(KEEP_ALIVE);
+            Connector::new().limit(0).timeout(CONNECT_TIMEOUT).conn_keep_alive(IDLE_TIMEOUT);
         let client = Client::builder().connector(connector).disable_timeout().finish();
         Self { client, plans, options, rotation }
     }
 
     async fn query(&self, arrival: Arrival) -> Record {
         let plan = &self.plans[arrival.class];
-        let key = format!("{}-{}", self.options.prefix, arrival.sequence);
-        let due = self.options.start + arrival.at;
-        let mut request = request(plan, &arrival, &key);
-        let mut turn = arrival.sequence as usize;
-        let mut refusals = 0;
-        let mut last = self.attempt(&request, &mut turn, &mut refusals, due).await;
-        if self.options.retries && matches!(last, Attempt::Broken(_)) {
+        let key = format!("{}-{}", self.options.key_prefix, arrival.sequence);
+        let scheduled_time = self.options.start + arrival.start_offset;
+        let mut request = build_request(plan, &arrival, &key);
+        let mut position = arrival.sequence as usize;
+        let mut connection_refusals = 0;
+        let mut attempt = self
+            .try_instances(&request, &mut position, &mut connection_refusals, scheduled_time)
+            .await;
+        if self.options.retries && matches!(attempt, Attempt::Broken(_)) {
             request.attempt = 2;
-            turn += 1;
-            last = self.attempt(&request, &mut turn, &mut refusals, Instant::now()).await;
+            position += 1;
+            attempt = self
+                .try_instances(&request, &mut position, &mut connection_refusals, Instant::now())
+                .await;
         }
         Record {
             class: arrival.class,
-            latency: due.elapsed(),
+            latency: scheduled_time.elapsed(),
             attempts: request.attempt,
-            refusals,
-            outcome: outcome(plan, &arrival, &request, last),
+            connection_refusals,
+            outcome: outcome_of(plan, &arrival, &request, attempt),
             key,
             shards: arrival.shards,
-            at: arrival.at,
+            start_offset: arrival.start_offset,
         }
     }
 
-    /// Asks the instance whose turn it is; one that fails its health check or accepts no connection
-    /// is passed over.
-    async fn attempt(
+    /// Sends the request to the next instance of the rotation; skips instances that fail their
+    /// health check or refuse the connection.
+    async fn try_instances(
         &self,
         request: &call::Request,
-        turn: &mut usize,
-        refusals: &mut u32,
-        since: Instant,
+        position: &mut usize,
+        connection_refusals: &mut u32,
+        start: Instant,
     ) -> Attempt {
-        let limit = Duration::from_millis(u64::from(request.deadline_ms)) + GRACE;
-        let mut last = Attempt::Refused("no instance".to_owned());
+        let timeout = Duration::from_millis(u64::from(request.deadline_ms)) + ANSWER_GRACE;
+        let mut result = Attempt::Refused("no instance".to_owned());
         for _ in 0..self.rotation.len() {
-            let address = self.rotation.next(turn);
+            let address = self.rotation.next(position);
             let exchange = self.exchange(address, request);
-            let end = (since + limit).into();
-            last = match tokio::time::timeout_at(end, exchange).await {
+            let deadline = (start + timeout).into();
+            result = match tokio::time::timeout_at(deadline, exchange).await {
                 Ok(attempt) => attempt,
                 Err(_) => return Attempt::Broken(format!("no answer from {address} in time")),
             };
-            if !matches!(last, Attempt::Refused(_)) {
-                return last;
+            if !matches!(result, Attempt::Refused(_)) {
+                return result;
             }
-            *turn += 1;
-            *refusals += 1;
+            *position += 1;
+            *connection_refusals += 1;
         }
-        last
+        result
     }
 
     async fn exchange(&self, address: &str, request: &call::Request) -> Attempt {
@@ -191,18 +199,18 @@
             Err(error) => return Attempt::Broken(format!("{address}: {error}")),
         };
         let status = response.status().as_u16();
-        match response.body().limit(ANSWER_BYTES).await {
+        match response.body().limit(MAX_ANSWER_BYTES).await {
             Ok(body) => Attempt::Response(status, body.to_vec()),
             Err(error) => Attempt::Broken(format!("{address}: {error}")),
         }
     }
 }
 
-/// Whether the request was never written.
+/// Whether the error shows that the request was never written to a connection.
 ///
 /// The client library reports a connection that ends before the response as the connect error
-/// `Disconnected`, although the request was written. Taken for a refused connection it would be
-/// sent again, and an unrepeatable request would run twice.
+/// `Disconnected`, although the request was written. If this error counted as a refused connection,
+/// the request would be sent again, and a non-idempotent request could run twice.
 fn is_unsent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => false,
@@ -211,14 +219,18 @@
     }
 }
 
-fn request(plan: &Plan, arrival: &Arrival, key: &str) -> call::Request {
-    let named = |shard: &usize| plan.shards[*shard].name.clone();
+fn build_request(plan: &Plan, arrival: &Arrival, key: &str) -> call::Request {
+    let shard_name = |shard: &usize| plan.shards[*shard].name.clone();
     call::Request {
         key: key.to_owned(),
         attempt: 1,
         index: plan.index.clone(),
         operation: plan.class.operation.clone(),
-        shards: if plan.whole { Vec::new() } else { arrival.shards.iter().map(named).collect() },
+        shards: if plan.whole_index {
+            Vec::new()
+        } else {
+            arrival.shards.iter().map(shard_name).collect()
+        },
         deadline_ms: plan.deadline_ms,
         unrepeatable: false,
         payload: format!("{}-{}", plan.class.name, arrival.sequence),
@@ -226,8 +238,13 @@
     }
 }
 
-fn outcome(plan: &Plan, arrival: &Arrival, request: &call::Request, last: Attempt) -> Outcome {
-    let (status, body) = match last {
+fn outcome_of(
+    plan: &Plan,
+    arrival: &Arrival,
+    request: &call::Request,
+    attempt: Attempt,
+) -> Outcome {
+    let (status, body) = match attempt {
         Attempt::Refused(cause) | Attempt::Broken(cause) => return Outcome::Lost { cause },
         Attempt::Response(status, body) => (status, body),
     };
@@ -235,19 +252,19 @@
         return Outcome::Undecodable { status };
     };
     let names = arrival.shards.iter().map(|shard| plan.shards[*shard].name.as_str());
-    let asked = Asked {
+    let query = SentQuery {
         key: &request.key,
         index: &request.index,
         shards: &names.collect::<Vec<_>>(),
         payload: &request.payload,
     };
-    let mistakes = check::check(&asked, status, &answer);
+    let mistakes = check::find_mistakes(&query, status, &answer);
     answer.parts = Vec::new();
     Outcome::Answered { status, answer: Box::new(answer), mistakes }
 }
 
-/// Services that a query's shards belong to.
-pub fn services<'a>(plan: &'a Plan, record: &Record) -> Set<&'a str> {
+/// Returns the services that the shards of a query belong to.
+pub fn services_of<'a>(plan: &'a Plan, record: &Record) -> Set<&'a str> {
     let service = |shard: &usize| plan.shards[*shard].service.as_str();
     record.shards.iter().map(service).collect()
 }
--- a/crates/load/src/check.rs
+++ b/crates/load/src/check.rs
@@ -1,4 +1,4 @@
-//! Compares one answer with its request.
+//! Checks that an answer is consistent with its request.
 
 use ladder_core::collections::Set;
 use ladder_schema::call;
@@ -7,114 +7,114 @@
 
 /// HTTP status of a complete answer.
 pub const COMPLETE: u16 = 200;
-/// HTTP status of an answer that misses shards.
+/// HTTP status of a partial answer, in which shards are missing.
 pub const PARTIAL: u16 = 206;
 
-/// What is untrue in an answer.
+/// Contradiction between an answer and its request, or within an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mistake {
-    /// The key is another request's.
+    /// The answer has the key of another request.
     ForeignKey,
-    /// The index is another one.
+    /// The answer is for another index than the request.
     ForeignIndex,
-    /// A part's body is not what its shard holds for this key and payload.
+    /// The body of a part is not the one that its shard returns for this key and payload.
     ForeignBody,
-    /// A part is drawn from another version than the answer states.
+    /// The index version of a part differs from the version that the answer states.
     MixedVersions,
-    /// A part of a shard that was not asked, or two parts of one shard.
+    /// The answer has a part of a shard that the query did not ask, or two parts of one shard.
     ForeignShard,
-    /// The covered shards are not those of the parts.
+    /// The shards listed as covered differ from the shards of the parts.
     Covered,
-    /// Covered and missing shards together are not the shards asked.
+    /// The covered and missing shards together differ from the shards that the query asked.
     Unlisted,
-    /// The HTTP status contradicts the answer.
+    /// The HTTP status contradicts the content of the answer.
     Status,
-    /// The verdict or reason is missing or contradicts the answer.
+    /// The verdict or reason is absent or contradicts the content of the answer.
     Verdict,
-    /// The body is not an answer.
+    /// The response body could not be decoded as an answer.
     Undecodable,
-    /// The ledgers hold an execution that the answer says did not run.
+    /// The target ledgers contain an execution of work that the answer reports as not run.
     RanAfterAll,
 }
 
-/// What was asked.
+/// Query as the caller sent it, to compare its answer with.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
-    /// Request key.
+pub struct SentQuery<'a> {
+    /// Request key of the query.
     pub key: &'a str,
-    /// Index.
+    /// Index that the query asked.
     pub index: &'a str,
-    /// Shards, each once.
+    /// Shards that the query asked, each once.
     pub shards: &'a [&'a str],
-    /// Payload.
+    /// Payload of the query.
     pub payload: &'a str,
 }
 
-/// Whether the HTTP status is that of an answer, not of a refusal.
+/// Whether the HTTP status denotes a complete or partial answer; other statuses denote a refusal.
 pub fn is_answer(status: u16) -> bool {
     matches!(status, COMPLETE | PARTIAL)
 }
 
-/// All mistakes in an answer, each once; none if it is true as far as one answer shows.
-pub fn check(asked: &Asked<'_>, status: u16, answer: &call::Answer) -> Vec<Mistake> {
-    let mut found = Vec::new();
-    if answer.key != asked.key {
-        found.push(Mistake::ForeignKey);
+/// Returns all mistakes that one answer shows by itself, each once; empty if there are none.
+pub fn find_mistakes(query: &SentQuery<'_>, status: u16, answer: &call::Answer) -> Vec<Mistake> {
+    let mut mistakes = Vec::new();
+    if answer.key != query.key {
+        mistakes.push(Mistake::ForeignKey);
     }
     if is_answer(status) {
-        check_parts(asked, answer, &mut found);
-        check_coverage(asked, status, answer, &mut found);
+        check_parts(query, answer, &mut mistakes);
+        check_coverage(query, status, answer, &mut mistakes);
     } else {
-        check_refusal(answer, &mut found);
+        check_refusal(answer, &mut mistakes);
     }
-    found.sort_unstable();
-    found.dedup();
-    found
+    mistakes.sort_unstable();
+    mistakes.dedup();
+    mistakes
 }
 
-fn check_refusal(answer: &call::Answer, found: &mut Vec<Mistake>) {
+fn check_refusal(answer: &call::Answer, mistakes: &mut Vec<Mistake>) {
     if !answer.parts.is_empty() || !answer.covered.is_empty() {
-        found.push(Mistake::Status);
+        mistakes.push(Mistake::Status);
     }
-    let reason = answer.reason() != Reason::Unspecified;
-    let verdict = answer.verdict() != Verdict::Unspecified;
-    if !reason || !verdict {
-        found.push(Mistake::Verdict);
+    let has_reason = answer.reason() != Reason::Unspecified;
+    let has_verdict = answer.verdict() != Verdict::Unspecified;
+    if !has_reason || !has_verdict {
+        mistakes.push(Mistake::Verdict);
     }
 }
 
-fn check_parts(asked: &Asked<'_>, answer: &call::Answer, found: &mut Vec<Mistake>) {
-    if answer.index != asked.index {
-        found.push(Mistake::ForeignIndex);
+fn check_parts(query: &SentQuery<'_>, answer: &call::Answer, mistakes: &mut Vec<Mistake>) {
+    if answer.index != query.index {
+        mistakes.push(Mistake::ForeignIndex);
     }
     let mut seen = Set::default();
     for part in &answer.parts {
-        let first = seen.insert(part.shard.as_str());
-        if !first || !asked.shards.contains(&part.shard.as_str()) {
-            found.push(Mistake::ForeignShard);
+        let is_first_part = seen.insert(part.shard.as_str());
+        if !is_first_part || !query.shards.contains(&part.shard.as_str()) {
+            mistakes.push(Mistake::ForeignShard);
         }
-        check_body(asked, answer, part, found);
+        check_body(query, answer, part, mistakes);
     }
 }
 
-/// A target's body is `INDEX@VERSION/SHARD/KEY/PAYLOAD`.
+/// Checks the body of a part, which a stand-in target fills with `INDEX@VERSION/SHARD/KEY/PAYLOAD`.
 fn check_body(
-    asked: &Asked<'_>,
+    query: &SentQuery<'_>,
     answer: &call::Answer,
     part: &call::Part,
-    found: &mut Vec<Mistake>,
+    mistakes: &mut Vec<Mistake>,
 ) {
-    let Some((version, rest)) = split_body(asked.index, &part.body) else {
-        found.push(Mistake::ForeignBody);
+    let Some((version, rest)) = split_body(query.index, &part.body) else {
+        mistakes.push(Mistake::ForeignBody);
         return;
     };
     if version != answer.version {
-        found.push(Mistake::MixedVersions);
+        mistakes.push(Mistake::MixedVersions);
     }
-    if rest != format!("{}/{}/{}", part.shard, asked.key, asked.payload) {
-        found.push(Mistake::ForeignBody);
+    if rest != format!("{}/{}/{}", part.shard, query.key, query.payload) {
+        mistakes.push(Mistake::ForeignBody);
     }
 }
 
@@ -123,26 +123,31 @@
     Some((version.parse().ok()?, rest))
 }
 
-fn check_coverage(asked: &Asked<'_>, status: u16, answer: &call::Answer, found: &mut Vec<Mistake>) {
+fn check_coverage(
+    query: &SentQuery<'_>,
+    status: u16,
+    answer: &call::Answer,
+    mistakes: &mut Vec<Mistake>,
+) {
     let parts = sorted(answer.parts.iter().map(|part| part.shard.as_str()));
     let covered = sorted(answer.covered.iter().map(String::as_str));
     if parts != covered {
-        found.push(Mistake::Covered);
+        mistakes.push(Mistake::Covered);
     }
     let missing = answer.missing.iter().map(|missing| missing.shard.as_str());
-    let stated = sorted(answer.covered.iter().map(String::as_str).chain(missing));
-    if stated != sorted(asked.shards.iter().copied()) {
-        found.push(Mistake::Unlisted);
+    let listed = sorted(answer.covered.iter().map(String::as_str).chain(missing));
+    if listed != sorted(query.shards.iter().copied()) {
+        mistakes.push(Mistake::Unlisted);
     }
     if (status == COMPLETE) != answer.missing.is_empty() {
-        found.push(Mistake::Status);
+        mistakes.push(Mistake::Status);
     }
-    let ran = answer.verdict() == Verdict::Ran;
-    let unstated = |missing: &call::Missing| {
+    let has_run = answer.verdict() == Verdict::Ran;
+    let lacks_reason_or_verdict = |missing: &call::Missing| {
         missing.reason() == Reason::Unspecified || missing.verdict() == Verdict::Unspecified
     };
-    if ran == answer.parts.is_empty() || answer.missing.iter().any(unstated) {
-        found.push(Mistake::Verdict);
+    if has_run == answer.parts.is_empty() || answer.missing.iter().any(lacks_reason_or_verdict) {
+        mistakes.push(Mistake::Verdict);
     }
 }
 
--- a/crates/load/src/command.rs
+++ b/crates/load/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the load generator.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -20,23 +20,23 @@
 use crate::table::Table;
 use crate::upkeep;
 
-/// Shortest measured part in seconds.
+/// Shortest allowed length of the measured part, in seconds.
 const SHORTEST_S: f64 = 0.1;
 
-/// What to do.
+/// Command of the load generator.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// Sends one schedule of queries and writes the figures to a file.
+    /// Sends one schedule of queries and writes the figures to a result file.
     Run(Arguments),
     /// Compares result files.
     Compare(Comparison),
-    /// Shows each outcome while processes are killed.
+    /// Shows the outcome of each query while an instance and a target process are killed.
     Demo(demo::Options),
     /// Measures the control cost of a fleet.
     Upkeep(upkeep::Options),
-    /// Measures the latency that the tier adds.
+    /// Measures the latency that the tier adds to a query.
     Overhead(PathBuf),
-    /// Waits until every process of a layout serves.
+    /// Waits until every process of a layout is ready.
     Ready(Readiness),
 }
 
@@ -74,34 +74,34 @@
     out: PathBuf,
 }
 
-/// The whole command line.
+/// Returns the parser of the command line.
 pub fn parser() -> OptionParser<Command> {
-    let run = arguments()
+    let run = run_arguments()
         .map(Command::Run)
         .to_options()
         .descr("Sends one schedule of queries and writes the figures to a file")
         .command("run");
-    let compare = comparison()
+    let compare = compare_arguments()
         .map(Command::Compare)
         .to_options()
         .descr("Compares result files by label and writes a report with plots")
         .command("compare");
-    let demo = demonstration()
+    let demo = demo_arguments()
         .map(Command::Demo)
         .to_options()
-        .descr("Shows each outcome while an instance and a target process are killed")
+        .descr("Shows the outcome of each query while an instance and a target process are killed")
         .command("demo");
-    let ready = readiness()
+    let ready = ready_arguments()
         .map(Command::Ready)
         .to_options()
         .descr("Waits until every process of a layout serves")
         .command("ready");
-    let upkeep = upkeep_options()
+    let upkeep = upkeep_arguments()
         .map(Command::Upkeep)
         .to_options()
         .descr("Measures what a fleet costs, how fast changes spread, how an owner is replaced")
         .command("upkeep");
-    let overhead = layout_file()
+    let overhead = run_file_flag()
         .map(Command::Overhead)
         .to_options()
         .descr("Measures what the tier adds to a single query's latency at low load")
@@ -112,9 +112,9 @@
         .version(env!("CARGO_PKG_VERSION"))
 }
 
-fn upkeep_options() -> impl Parser<upkeep::Options> {
-    let run = layout_file();
-    let seconds = number("seconds", "Length of each measured part", 20.0);
+fn upkeep_arguments() -> impl Parser<upkeep::Options> {
+    let run = run_file_flag();
+    let seconds = seconds_flag("seconds", "Length of each measured part", 20.0);
     let changes = bpaf::long("changes")
         .help("Changes a second in the second part")
         .argument("N")
@@ -127,21 +127,25 @@
     bpaf::construct!(upkeep::Options { run, seconds, changes, processes })
 }
 
-fn demonstration() -> impl Parser<demo::Options> {
-    let run = layout_file();
+fn demo_arguments() -> impl Parser<demo::Options> {
+    let run = run_file_flag();
     let instance =
-        bpaf::long("kill-instance").help("Process to kill of an instance").argument("PID");
+        bpaf::long("kill-instance").help("Process of the instance to kill").argument("PID");
     let target = bpaf::long("kill-target")
-        .help("Process to kill of the layout's last target process")
+        .help("Process id of the layout's last target process, which is killed")
         .argument("PID");
     bpaf::construct!(demo::Options { run, instance, target })
 }
 
-fn arguments() -> impl Parser<Arguments> {
-    let run = layout_file();
-    let amount = amount();
-    let seconds = number("seconds", "Length of the measured part", 10.0);
-    let warmup = number("warmup", "Length of the part before it, checked, not measured", 2.0);
+fn run_arguments() -> impl Parser<Arguments> {
+    let run = run_file_flag();
+    let amount = amount_flags();
+    let seconds = seconds_flag("seconds", "Length of the measured part", 10.0);
+    let warmup = seconds_flag(
+        "warmup",
+        "Length of the warm-up before the measured part; checked, not measured",
+        2.0,
+    );
     let seed = bpaf::long("seed")
         .help("Seed of the schedule")
         .argument("N")
@@ -151,17 +155,17 @@
         .help("porto, bagmati or a JSON file; default: the mix of the layout's user")
         .argument("MIX")
         .optional();
-    let label = name("label", "Label of the result, for comparisons", "run");
-    let scenario = name("scenario", "Name of the schedule of faults", run::STEADY);
+    let label = name_flag("label", "Label of the result, for comparisons", "run");
+    let scenario = name_flag("scenario", "Name of the schedule of faults", run::NO_FAULTS_SCENARIO);
     let dropped = bpaf::long("drop-instances")
         .help("Instance that the balancer leaves out; may be repeated")
         .argument("NAME")
         .many();
-    let faults = faults();
+    let faults = fault_flags();
     let retries = bpaf::long("caller-retries")
-        .help("Ask a lost query once more, with attempt 2, through another instance")
+        .help("Send a lost query once more, with attempt 2, through another instance")
         .switch();
-    let out = out();
+    let out = out_flag();
     bpaf::construct!(Arguments {
         run,
         amount,
@@ -178,30 +182,30 @@
     })
 }
 
-fn readiness() -> impl Parser<Readiness> {
-    let run = layout_file();
-    let timeout = number("timeout", "How long to wait", 20.0);
+fn ready_arguments() -> impl Parser<Readiness> {
+    let run = run_file_flag();
+    let timeout = seconds_flag("timeout", "How long to wait", 20.0);
     bpaf::construct!(Readiness { run, timeout })
 }
 
-fn layout_file() -> impl Parser<PathBuf> {
+fn run_file_flag() -> impl Parser<PathBuf> {
     bpaf::long("run").help("run.json of the layout").argument("FILE")
 }
 
-fn comparison() -> impl Parser<Comparison> {
-    let baseline = name("baseline", "Label of the baseline", "baseline");
-    let chosen = name("chosen", "Label of the chosen policy", "owner");
+fn compare_arguments() -> impl Parser<Comparison> {
+    let baseline = name_flag("baseline", "Label of the baseline", "baseline");
+    let chosen = name_flag("chosen", "Label of the chosen policy", "owner");
     let load = bpaf::long("load")
-        .help("Load that the last line is about; of the loads at hand, the nearest")
+        .help("Load that the summary line compares; the nearest load of the result files is used")
         .argument("SHARE")
         .fallback(0.7)
         .display_fallback();
-    let out = out();
+    let out = out_flag();
     let files = bpaf::positional("FILE").help("Result files of runs").some("no result file");
     bpaf::construct!(Comparison { baseline, chosen, load, out, files })
 }
 
-fn number(name: &'static str, help: &'static str, fallback: f64) -> impl Parser<f64> {
+fn seconds_flag(name: &'static str, help: &'static str, fallback: f64) -> impl Parser<f64> {
     bpaf::long(name)
         .help(help)
         .argument("S")
@@ -210,11 +214,15 @@
         .guard(|seconds| (0.0..=86_400.0).contains(seconds), "must be 0 to 86400 seconds")
 }
 
-fn name(name: &'static str, help: &'static str, fallback: &'static str) -> impl Parser<String> {
+fn name_flag(
+    name: &'static str,
+    help: &'static str,
+    fallback: &'static str,
+) -> impl Parser<String> {
     bpaf::long(name).help(help).argument("NAME").fallback(fallback.to_owned()).display_fallback()
 }
 
-fn faults() -> impl Parser<Vec<Fault>> {
+fn fault_flags() -> impl Parser<Vec<Fault>> {
     bpaf::long("fault")
         .help(
             "AT_S:KIND:SERVER (dead, leaving, shedding, failing, lying, slowdown, silent, clear) \
@@ -225,11 +233,11 @@
         .many()
 }
 
-fn out() -> impl Parser<PathBuf> {
-    bpaf::long("out").help("Where the result goes").argument("FILE")
+fn out_flag() -> impl Parser<PathBuf> {
+    bpaf::long("out").help("File to write the result to").argument("FILE")
 }
 
-fn amount() -> impl Parser<Amount> {
+fn amount_flags() -> impl Parser<Amount> {
     let load = bpaf::long("load")
         .help("Share of the capacity of the servers that the mix keeps busy")
         .argument::<f64>("SHARE")
@@ -241,25 +249,25 @@
     bpaf::construct!([load, rate])
 }
 
-/// Runs a command; gives the lines to print.
+/// Executes a command and returns the text to print.
 pub fn execute(command: Command) -> Result<String, Error> {
     match command {
         Command::Run(arguments) => run(arguments),
         Command::Compare(comparison) => compare(&comparison),
         Command::Ready(readiness) => ready(&readiness),
-        Command::Upkeep(options) => json(&upkeep::execute(&options)?),
-        Command::Overhead(run) => json(&overhead::execute(&run)?),
-        Command::Demo(options) => demonstrate(&options),
+        Command::Upkeep(options) => to_json_line(&upkeep::execute(&options)?),
+        Command::Overhead(run) => to_json_line(&overhead::execute(&run)?),
+        Command::Demo(options) => run_demo(&options),
     }
 }
 
-/// A report as one line.
-fn json(report: &impl Serialize) -> Result<String, Error> {
+/// Serializes a report as one line of JSON.
+fn to_json_line(report: &impl Serialize) -> Result<String, Error> {
     serde_json::to_string(report)
         .map_err(|error| Error::Write("standard output".into(), error.to_string()))
 }
 
-fn demonstrate(options: &demo::Options) -> Result<String, Error> {
+fn run_demo(options: &demo::Options) -> Result<String, Error> {
     let totals = demo::execute(options)?;
     if totals.is_sound() {
         Ok(totals.to_string())
@@ -271,23 +279,23 @@
 
 fn run(arguments: Arguments) -> Result<String, Error> {
     let out = arguments.out.clone();
-    let result = run::execute(options(arguments)?)?;
+    let result = run::execute(run_options(arguments)?)?;
     let text = serde_json::to_string_pretty(&result)
         .map_err(|error| Error::Write(out.clone(), error.to_string()))?;
     write(&out, &text)?;
-    let head = result.headline();
+    let headline = result.headline();
     Ok(format!(
         "label={} load={:.2} class={} p50={:.1} p99={:.1} p999={:.1} complete={:.4} \
          coverage={:.4} goodput={:.1} extra_load={:.3} wrong={} doubled={} lost={}",
         result.label,
         result.load,
-        head.name,
-        head.p50_ms,
-        head.p99_ms,
-        head.p999_ms,
-        head.complete_share,
-        head.coverage,
-        head.goodput,
+        headline.name,
+        headline.p50_ms,
+        headline.p99_ms,
+        headline.p999_ms,
+        headline.complete_share,
+        headline.coverage,
+        headline.goodput,
         result.extra_load,
         result.overall.wrong,
         result.overall.doubled,
@@ -295,8 +303,8 @@
     ))
 }
 
-fn options(arguments: Arguments) -> Result<run::Options, Error> {
-    let mix = arguments.mix.as_deref().map(named_mix).transpose()?;
+fn run_options(arguments: Arguments) -> Result<run::Options, Error> {
+    let mix = arguments.mix.as_deref().map(find_mix).transpose()?;
     let options = run::Options::new(arguments.run, arguments.amount)
         .mix(mix)
         .length(Duration::from_secs_f64(arguments.seconds.max(SHORTEST_S)))
@@ -310,26 +318,26 @@
     Ok(options)
 }
 
-fn named_mix(name: &str) -> Result<Mix, Error> {
+fn find_mix(name: &str) -> Result<Mix, Error> {
     match name {
         "porto" => Ok(mix::porto()),
         "bagmati" => Ok(mix::bagmati()),
-        file => layout::decode(Path::new(file)),
+        file => layout::read_json(Path::new(file)),
     }
 }
 
 fn ready(arguments: &Readiness) -> Result<String, Error> {
-    let limit = Duration::from_secs_f64(arguments.timeout);
-    let instances = ready::wait(&arguments.run, limit)?;
+    let timeout = Duration::from_secs_f64(arguments.timeout);
+    let instances = ready::wait(&arguments.run, timeout)?;
     Ok(format!("ready={instances}"))
 }
 
 fn compare(arguments: &Comparison) -> Result<String, Error> {
-    let runs = arguments.files.iter().map(|file| layout::decode(file));
+    let runs = arguments.files.iter().map(|file| layout::read_json(file));
     let runs: Vec<Run> = runs.collect::<Result<_, _>>()?;
-    let rows = compare::group(&runs);
+    let rows = compare::group_runs(&runs);
     let tables = report::tables(&rows);
-    let summary = Summary::of(&rows, &arguments.baseline, &arguments.chosen, arguments.load)?;
+    let summary = Summary::compare(&rows, &arguments.baseline, &arguments.chosen, arguments.load)?;
     let page = report::page(&tables, &report::plots(&rows, arguments.load)?, &summary);
     write(&arguments.out, &page)?;
     let texts: Vec<String> = tables.iter().map(Table::to_text).collect();
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a run or a comparison could not be done.
+//! Errors of the load generator and its reports.
 
 use std::path::PathBuf;
 
 use displaydoc::Display;
 
-/// Why a run or a comparison could not be done.
+/// Error of a run, a comparison or another command of the load generator.
 #[derive(Debug)]
 #[derive(Display)]
 pub enum Error {
@@ -22,7 +22,7 @@
     EmptyMix,
     /// fault "{0}" is not AT_S:KIND:NAME with a known kind
     Fault(String),
-    /// no server or index "{0}" in the layout
+    /// "{0}" is not in the layout
     Unknown(String),
     /// {0} does not answer: {1}
     Admin(String, String),
@@ -34,7 +34,7 @@
     Thread,
     /// no result of label "{0}" among the files
     Label(String),
-    /// cannot draw: {0}
+    /// cannot create a plot or histogram: {0}
     Plot(String),
 }
 
--- a/crates/load/src/fault.rs
+++ b/crates/load/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that a run injects on a schedule.
+//! Faults that a run injects according to a schedule.
 
 use std::str::FromStr;
 use std::time::{Duration, Instant};
@@ -10,67 +10,68 @@
 use crate::error::Error;
 use crate::layout::{self, Layout};
 
-/// How many times slower a slowed server is.
-const SLOWDOWN: u32 = 5;
-/// Between two servers that load a new index version.
+/// Factor by which the `slowdown` and `lying` faults multiply the service time of a server.
+const SLOWDOWN_FACTOR: u32 = 5;
+/// Delay between two servers in the rollout of an index version.
 const ROLLOUT_GAP: Duration = Duration::from_millis(20);
-/// How long a server holds both versions.
-const OVERLAP: Duration = Duration::from_secs(2);
+/// Time for which the servers serve both the old and the new version of an index.
+const VERSION_OVERLAP: Duration = Duration::from_secs(2);
 
-/// What happens.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A server closes every connection and accepts none.
+    /// The server closes every connection and accepts no new one.
     Dead,
-    /// A server refuses new work and reports that it leaves.
+    /// The server refuses new work and reports that it is leaving.
     Leaving,
-    /// A server sheds everything.
+    /// The server rejects all requests as overloaded.
     Shedding,
-    /// A server answers 500 at once and reports no load.
+    /// The server answers every request with status 500 at once and reports no load.
     Failing,
-    /// A server is five times slower and reports no load.
+    /// The server is five times slower and reports no load.
     Lying,
-    /// A server is five times slower.
+    /// The server is five times slower.
     Slowdown,
-    /// A server takes requests and never answers.
+    /// The server accepts requests and never answers them.
     Silent,
-    /// A server works again.
+    /// The server has no fault any more.
     Clear,
-    /// The next version of an index is published; its servers load it one after another and drop
-    /// the old one two seconds later.
+    /// The next version of an index is published. The servers of the index load it one after
+    /// another, and drop the old version two seconds after the last of them loaded the new one.
     Version,
 }
 
-/// One fault on the schedule.
+/// Fault of the schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When, after the start.
-    pub at: Duration,
-    /// What happens.
+    /// Time of the fault, counted from the start of the schedule.
+    pub start_offset: Duration,
+    /// Kind of the fault.
     pub kind: Kind,
-    /// The server, or the index for [`Kind::Version`].
+    /// Name of the server, or of the index for [`Kind::Version`].
     pub name: String,
 }
 
 impl FromStr for Fault {
     type Err = Error;
 
-    /// Reads `AT_S:KIND:NAME`.
+    /// Parses `AT_S:KIND:NAME`; `AT_S` is the time of the fault in seconds.
     fn from_str(text: &str) -> Result<Self, Error> {
-        let wrong = || Error::Fault(text.to_owned());
+        let invalid = || Error::Fault(text.to_owned());
         let mut fields = text.splitn(3, ':');
-        let at: f64 = fields.next().and_then(|at| at.parse().ok()).ok_or_else(wrong)?;
-        let kind = fields.next().and_then(kind).ok_or_else(wrong)?;
-        let name = fields.next().filter(|name| !name.is_empty()).ok_or_else(wrong)?;
+        let seconds: f64 =
+            fields.next().and_then(|seconds| seconds.parse().ok()).ok_or_else(invalid)?;
+        let kind = fields.next().and_then(parse_kind).ok_or_else(invalid)?;
+        let name = fields.next().filter(|name| !name.is_empty()).ok_or_else(invalid)?;
         Ok(Self {
-            at: Duration::try_from_secs_f64(at).map_err(|_| wrong())?,
+            start_offset: Duration::try_from_secs_f64(seconds).map_err(|_| invalid())?,
             kind,
             name: name.to_owned(),
         })
     }
 }
 
-fn kind(text: &str) -> Option<Kind> {
+fn parse_kind(text: &str) -> Option<Kind> {
     Some(match text {
         "dead" => Kind::Dead,
         "leaving" => Kind::Leaving,
@@ -85,55 +86,57 @@
     })
 }
 
-/// The message to the target stand-in; nothing for [`Kind::Version`].
-fn message(kind: Kind) -> standin::Fault {
+/// Returns the request that sets the fault at the target stand-in; without any fault for
+/// [`Kind::Version`].
+fn standin_fault(kind: Kind) -> standin::Fault {
     standin::Fault {
         leaving: kind == Kind::Leaving,
         dead: kind == Kind::Dead,
         failing: kind == Kind::Failing,
         shedding: kind == Kind::Shedding,
         lying: kind == Kind::Lying,
-        slowdown: if matches!(kind, Kind::Lying | Kind::Slowdown) { SLOWDOWN } else { 0 },
+        slowdown: if matches!(kind, Kind::Lying | Kind::Slowdown) { SLOWDOWN_FACTOR } else { 0 },
         silent: kind == Kind::Silent,
         ..standin::Fault::default()
     }
 }
 
-/// Injects all faults at their times after `start`, in order of time.
+/// Injects all faults at their times after `start`, in chronological order.
 pub async fn inject(layout: &Layout, faults: &[Fault], start: Instant) -> Result<(), Error> {
     let admin = Admin::default();
     let mut faults = faults.to_vec();
-    faults.sort_by_key(|fault| fault.at);
+    faults.sort_by_key(|fault| fault.start_offset);
     for fault in faults {
-        tokio::time::sleep_until((start + fault.at).into()).await;
+        tokio::time::sleep_until((start + fault.start_offset).into()).await;
         if fault.kind == Kind::Version {
             change_version(&admin, layout, &fault.name).await?;
         } else {
             let process =
                 layout.process_of(&fault.name).ok_or_else(|| Error::Unknown(fault.name.clone()))?;
-            let message = message(fault.kind);
-            admin.set_fault(&process.admin, &fault.name, &message).await?;
+            let fault_request = standin_fault(fault.kind);
+            admin.set_fault(&process.admin, &fault.name, &fault_request).await?;
         }
     }
     Ok(())
 }
 
-async fn change_version(admin: &Admin, layout: &Layout, name: &str) -> Result<(), Error> {
-    let old = layout
+async fn change_version(admin: &Admin, layout: &Layout, index_name: &str) -> Result<(), Error> {
+    let old_index = layout
         .indexes()
-        .filter(|index| index.name == name)
+        .filter(|index| index.name == index_name)
         .max_by_key(|index| index.version)
-        .ok_or_else(|| Error::Unknown(name.to_owned()))?;
-    let new = publication::Index { version: old.version + 1, ..old.clone() };
-    let (before, after) = (old.version, new.version);
-    publish(admin, layout, Body::Index(new)).await?;
-    roll(admin, layout, old, &[before, after]).await?;
-    tokio::time::sleep(OVERLAP).await;
-    roll(admin, layout, old, &[after]).await
+        .ok_or_else(|| Error::Unknown(index_name.to_owned()))?;
+    let new_index = publication::Index { version: old_index.version + 1, ..old_index.clone() };
+    let (old_version, new_version) = (old_index.version, new_index.version);
+    publish(admin, layout, Body::Index(new_index)).await?;
+    roll_out(admin, layout, old_index, &[old_version, new_version]).await?;
+    tokio::time::sleep(VERSION_OVERLAP).await;
+    roll_out(admin, layout, old_index, &[new_version]).await
 }
 
-/// Makes the servers of an index hold exactly these versions of it, one server after another.
-async fn roll(
+/// Makes the servers of an index hold exactly these versions of the index, one server after
+/// another.
+async fn roll_out(
     admin: &Admin,
     layout: &Layout,
     index: &publication::Index,
@@ -141,7 +144,7 @@
 ) -> Result<(), Error> {
     for process in &layout.processes {
         for target in &process.targets {
-            let mut server = layout::server(target);
+            let mut server = layout::published_server(target);
             if !index.shards.iter().any(|shard| shard.service == server.service) {
                 continue;
             }
--- a/crates/load/src/layout.rs
+++ b/crates/load/src/layout.rs
@@ -1,4 +1,5 @@
-//! `run.json` and the files that it names: who serves where, and how fast.
+//! Reads `run.json` and the files that it names: the processes under load, their addresses and the
+//! speed of their servers.
 
 use std::path::Path;
 
@@ -7,12 +8,12 @@
 
 use crate::error::Error;
 
-/// An instance as callers see it.
+/// Names and addresses of an instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Instance {
-    /// Unique name.
+    /// Unique name of the instance.
     pub name: String,
-    /// IP number and port of its callers' HTTP.
+    /// Address and port of the HTTP interface for callers.
     pub address: String,
     /// IP number and port of its operators' HTTP.
     pub admin: String,
@@ -24,27 +25,27 @@
     }
 }
 
-/// A process of target stand-ins.
+/// Process that runs target stand-ins.
 #[derive(Clone, Debug)]
 pub struct Process {
     /// IP number and port of its operators' HTTP.
     pub admin: String,
-    /// Its servers.
+    /// Servers that the process runs.
     pub targets: Vec<standin::Target>,
 }
 
-/// Everything a run needs to know of the processes under load.
+/// Description of the processes under load.
 #[derive(Clone, Debug, Default)]
 pub struct Layout {
-    /// User whose sizes it has.
+    /// User after whose system the layout is sized.
     pub user: String,
-    /// Instances, in the order listed.
+    /// Instances, in the order of `run.json`.
     pub instances: Vec<Instance>,
-    /// Processes of target stand-ins.
+    /// Processes that run target stand-ins.
     pub processes: Vec<Process>,
-    /// IP number and port of the platform stand-in.
+    /// Address and port of the platform stand-in.
     pub platform: String,
-    /// What the platform publishes at the start.
+    /// Records that the platform publishes at the start.
     pub records: Vec<publication::Record>,
 }
 
@@ -52,8 +53,8 @@
     /// Reads `run.json` and the files that it names.
     pub fn read(run: &Path) -> Result<Self, Error> {
         let folder = run.parent().unwrap_or(Path::new("."));
-        let index: standin::Run = decode(run)?;
-        let platform: standin::Platform = decode(&folder.join(&index.platform_file))?;
+        let index: standin::Run = read_json(run)?;
+        let platform: standin::Platform = read_json(&folder.join(&index.platform_file))?;
         let layout = Self {
             user: index.user,
             instances: index.instances.into_iter().map(Instance::from).collect(),
@@ -61,10 +62,10 @@
             platform: index.platform_address,
             records: platform.records,
         };
-        layout.checked(run)
+        layout.validated(run)
     }
 
-    fn checked(self, run: &Path) -> Result<Self, Error> {
+    fn validated(self, run: &Path) -> Result<Self, Error> {
         if self.instances.is_empty() {
             return Err(Error::Layout(run.to_path_buf(), "instances"));
         }
@@ -74,17 +75,17 @@
         Ok(self)
     }
 
-    /// All servers of all processes.
+    /// Returns all servers of all processes.
     pub fn targets(&self) -> impl Iterator<Item = &standin::Target> {
         self.processes.iter().flat_map(|process| &process.targets)
     }
 
-    /// Servers of one service.
+    /// Returns the servers of one service.
     pub fn servers(&self, service: &str) -> Vec<&standin::Target> {
-        self.targets().filter(|target| server(target).service == service).collect()
+        self.targets().filter(|target| published_server(target).service == service).collect()
     }
 
-    /// Catalogue entries.
+    /// Returns the catalogue entries that the platform publishes.
     pub fn entries(&self) -> impl Iterator<Item = &catalogue::Entry> {
         self.records.iter().filter_map(|record| match &record.body {
             Some(publication::record::Body::Entry(entry)) => Some(entry),
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Published indexes.
+    /// Returns the indexes that the platform publishes.
     pub fn indexes(&self) -> impl Iterator<Item = &publication::Index> {
         self.records.iter().filter_map(|record| match &record.body {
             Some(publication::record::Body::Index(index)) => Some(index),
@@ -100,30 +101,30 @@
         })
     }
 
-    /// The process that runs a server.
+    /// Returns the process that runs the server with this name.
     pub fn process_of(&self, name: &str) -> Option<&Process> {
-        self.processes
-            .iter()
-            .find(|process| process.targets.iter().any(|target| server(target).name == name))
+        self.processes.iter().find(|process| {
+            process.targets.iter().any(|target| published_server(target).name == name)
+        })
     }
 }
 
-/// The published description of a target; empty when the settings lack it.
-pub fn server(target: &standin::Target) -> publication::Server {
+/// Returns the published description of a target; empty if the settings have none.
+pub fn published_server(target: &standin::Target) -> publication::Server {
     target.server.clone().unwrap_or_default()
 }
 
 fn processes(folder: &Path, listed: &[standin::Process]) -> Result<Vec<Process>, Error> {
-    let mut found = Vec::new();
+    let mut processes = Vec::new();
     for process in listed {
-        let settings: standin::Targets = decode(&folder.join(&process.file))?;
-        found.push(Process { admin: process.admin_address.clone(), targets: settings.targets });
+        let settings: standin::Targets = read_json(&folder.join(&process.file))?;
+        processes.push(Process { admin: process.admin_address.clone(), targets: settings.targets });
     }
-    Ok(found)
+    Ok(processes)
 }
 
-/// Reads one JSON file.
-pub fn decode<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
+/// Reads a JSON file.
+pub fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| Error::Read(path.to_path_buf(), error.to_string()))?;
     serde_json::from_str(&text)
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,12 +1,14 @@
-//! Open-loop load and experiment tool.
+//! Open-loop load generator and experiment runner.
 //!
-//! - [`layout`] reads what the stand-ins' layout tool wrote;
-//! - [`mix`] says which operations are called and how much of the capacity each takes,
-//!   [`capacity`] how much there is, [`plan`] resolves both to rates and shards;
-//! - [`schedule`] draws the arrivals from a seed, before anything is sent;
-//! - [`caller`] sends them on time whatever the answers do, [`check`] compares each answer with
-//!   its request, [`audit`] compares the answers with what the targets executed;
-//! - [`tally`] turns records into a [`result::Run`], [`compare`] and [`report`] runs into a report.
+//! - [`layout`] reads `run.json` and the settings files of the instances and stand-ins under load;
+//! - [`mix`] defines which operations are called and which share of the capacity each takes,
+//!   [`capacity`] calculates the capacity, [`plan`] resolves both to query rates and shards;
+//! - [`schedule`] generates all query times from a seed before the first query is sent;
+//! - [`caller`] sends each query at its scheduled time, however slow the answers are; [`check`]
+//!   compares each answer with its request, and [`audit`] compares the answers with the executions
+//!   that the targets recorded;
+//! - [`tally`] aggregates query records into a [`result::Run`]; [`compare`] and [`report`] turn
+//!   runs into a report.
 
 pub mod admin;
 pub mod audit;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! Open-loop load and experiment tool.
+//! Open-loop load generator and experiment runner.
 
 use std::process::ExitCode;
 
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -1,8 +1,9 @@
-//! Which operations are called, and the share of the capacity that each takes.
+//! Operations that a run calls, and the share of the capacity that each takes.
 //!
-//! A class's `share` is its part of the capacity of the services that list its operation. At load
-//! F the class alone keeps `F * share` of their slots busy, so classes on the same services add
-//! up. Both user mixes load their two large groups like this at F = 1:
+//! The `share` of a query class is the part of the capacity that the class uses at load 1, of the
+//! services whose catalogue entry lists its operation. At load F the class alone keeps `F * share`
+//! of the slots of these services busy, so the shares of classes on the same services add up. At F
+//! = 1 the mixes of both users load their two large groups of services as follows:
 //!
 //! | user | group | classes and shares | sum |
 //! |---|---|---|---|
@@ -11,55 +12,56 @@
 //! | Bagmati | counter-desk | eligibility-sweep 0.40, eligibility 0.07, payout-lookup 0.03 | 0.5 |
 //! | Bagmati | ledger-sync | duplicate-claims 1.0 | 1.0 |
 //!
-//! Urgent classes stay below half of their group, so that at F = 1.3 the overload is made of less
-//! urgent work. All operations of counter-desk are urgent or few: it runs at half of F.
+//! The urgent classes of a group have less than half of its load, so that at F = 1.3 the excess
+//! load consists of less urgent work. The operations of counter-desk are all urgent or rarely
+//! called, therefore this group is loaded with half of F.
 
 use serde::{Deserialize, Serialize};
 
-/// Shards that one query asks.
+/// Number of shards that one query asks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fan {
-    /// All shards of the operation's services.
+pub enum FanOut {
+    /// Each query asks all shards of the operation's services.
     All,
-    /// This many, drawn anew for each query.
+    /// Each query asks this many shards, selected at random for each query.
     Some(usize),
 }
 
-/// One kind of query.
+/// Class of queries that call the same operation with the same number of shards.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Unique name in reports.
+    /// Unique name of the query class in reports.
     pub name: String,
-    /// Operation of the catalogue.
+    /// Name of the operation that the query class calls, as in the catalogue.
     pub operation: String,
-    /// Shards of one query.
-    pub fan: Fan,
-    /// Part of the capacity of the operation's services at load 1.
+    /// Number of shards that one query of the class asks.
+    pub fan: FanOut,
+    /// Share of the capacity of the operation's services that the class uses at load 1.
     pub share: f64,
-    /// How long the caller waits, in milliseconds; 0: the operation's default of the catalogue.
+    /// Deadline of a query in milliseconds; 0 selects the operation's default in the catalogue.
     #[serde(default)]
     pub deadline_ms: u32,
-    /// The comparison's last line is about this class.
+    /// Whether the summary line of a comparison reports on this query class.
     #[serde(default)]
     pub headline: bool,
 }
 
-/// Classes of queries that run side by side.
+/// Query classes that a run sends at the same time.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
-    /// Name in reports.
+    /// Name of the mix in reports.
     pub name: String,
-    /// The classes.
+    /// Query classes of the mix.
     pub classes: Vec<Class>,
 }
 
-fn class(name: &str, operation: &str, fan: Fan, share: f64) -> Class {
+fn class(name: &str, operation: &str, fan: FanOut, share: f64) -> Class {
     Class {
         name: name.to_owned(),
         operation: operation.to_owned(),
@@ -70,43 +72,43 @@
     }
 }
 
-fn headline(class: Class) -> Class {
+fn as_headline(class: Class) -> Class {
     Class { headline: true, ..class }
 }
 
-/// Porto's mix.
+/// Mix of the user Porto.
 pub fn porto() -> Mix {
     Mix {
         name: "porto".to_owned(),
         classes: vec![
-            headline(class("dock-availability", "dock-availability", Fan::All, 0.97)),
-            class("dock-booking", "dock-booking", Fan::Some(1), 0.03),
-            class("stolen-bike", "stolen-bike", Fan::All, 0.3),
-            class("flagged-round", "flagged-bikes", Fan::Some(10), 0.65),
-            class("flagged-bikes", "flagged-bikes", Fan::Some(1), 0.05),
-            class("tariff", "tariff", Fan::Some(1), 0.02),
-            class("profile", "profile", Fan::Some(1), 0.02),
+            as_headline(class("dock-availability", "dock-availability", FanOut::All, 0.97)),
+            class("dock-booking", "dock-booking", FanOut::Some(1), 0.03),
+            class("stolen-bike", "stolen-bike", FanOut::All, 0.3),
+            class("flagged-round", "flagged-bikes", FanOut::Some(10), 0.65),
+            class("flagged-bikes", "flagged-bikes", FanOut::Some(1), 0.05),
+            class("tariff", "tariff", FanOut::Some(1), 0.02),
+            class("profile", "profile", FanOut::Some(1), 0.02),
         ],
     }
 }
 
-/// Bagmati's mix.
+/// Mix of the user Bagmati.
 pub fn bagmati() -> Mix {
     Mix {
         name: "bagmati".to_owned(),
         classes: vec![
-            headline(class("duplicate-claims", "duplicate-claims", Fan::All, 1.0)),
-            class("eligibility-sweep", "eligibility", Fan::All, 0.4),
-            class("eligibility", "eligibility", Fan::Some(1), 0.07),
-            class("payout-lookup", "payout-lookup", Fan::Some(1), 0.03),
-            class("application-status", "application-status", Fan::Some(1), 0.3),
+            as_headline(class("duplicate-claims", "duplicate-claims", FanOut::All, 1.0)),
+            class("eligibility-sweep", "eligibility", FanOut::All, 0.4),
+            class("eligibility", "eligibility", FanOut::Some(1), 0.07),
+            class("payout-lookup", "payout-lookup", FanOut::Some(1), 0.03),
+            class("application-status", "application-status", FanOut::Some(1), 0.3),
         ],
     }
 }
 
 impl Mix {
-    /// The mix of a user; Porto's for an unknown one.
-    pub fn of(user: &str) -> Self {
+    /// Returns the mix of a user; for an unknown user, the mix of Porto.
+    pub fn for_user(user: &str) -> Self {
         match user {
             "bagmati" => bagmati(),
             _ => porto(),
--- a/crates/load/src/overhead.rs
+++ b/crates/load/src/overhead.rs
@@ -1,5 +1,5 @@
-//! What the tier adds to the latency of a single query at low load: the same query is sent in turn
-//! through an instance and straight to a server.
+//! Measures the latency that the tier adds to a single query at low load: the same query is sent
+//! alternately directly to a server and through an instance.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,42 +13,42 @@
 use crate::layout::{self, Layout};
 use crate::ready;
 
-/// Queries before the measured ones, each way.
-const WARMUP: usize = 200;
-/// Measured queries, each way.
-const QUERIES: usize = 3000;
-/// Pause between two queries: no queue anywhere.
-const PAUSE: Duration = Duration::from_millis(1);
+/// Number of warm-up queries on each path, which are not measured.
+const WARMUP_QUERIES: usize = 200;
+/// Number of measured queries on each path.
+const MEASURED_QUERIES: usize = 3000;
+/// Pause between two queries, so that no query ever waits in a queue.
+const QUERY_PAUSE: Duration = Duration::from_millis(1);
 /// Deadline of a query, in milliseconds.
 const DEADLINE_MS: u32 = 5000;
-/// Longest time that is told apart, in microseconds.
-const LONGEST_US: u64 = 60_000_000;
-/// Longest wait for the processes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Largest latency that the histogram can distinguish, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Longest wait until all processes are ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Microseconds at two quantiles.
+/// Latency at two quantiles, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Latency {
-    /// Median.
+    /// Median latency in microseconds.
     pub p50_us: u64,
-    /// 99th percentile.
+    /// 99th percentile latency in microseconds.
     pub p99_us: u64,
 }
 
-/// Both ways side by side.
+/// Latency of the same query directly and through the tier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[derive(Serialize)]
 pub struct Overhead {
-    /// Queries each way.
+    /// Number of measured queries on each path.
     pub queries: usize,
-    /// Straight to the server.
+    /// Latency of queries sent directly to the server.
     pub direct: Latency,
-    /// Through an instance.
+    /// Latency of queries sent through an instance.
     pub tier: Latency,
 }
 
-/// One query both ways.
+/// Query that is sent on both paths.
 struct Probe {
     client: Client,
     instance: String,
@@ -59,29 +59,35 @@
     operation: String,
 }
 
-/// Measures with the first repeatable operation of the layout; outside any actix system.
+/// Measures the latency with an idempotent operation on the first shard of the layout; must be
+/// called outside any actix system.
 ///
 /// # Errors
 ///
-/// [`Error`] when the layout lacks what is needed or a query fails.
-pub fn execute(run: &Path) -> Result<Overhead, Error> {
-    ready::wait(run, PATIENCE)?;
-    let layout = Layout::read(run)?;
+/// [`Error`] when the layout has no index, shard, server or idempotent operation to use, or a query
+/// fails.
+pub fn execute(run_file: &Path) -> Result<Overhead, Error> {
+    ready::wait(run_file, READY_TIMEOUT)?;
+    let layout = Layout::read(run_file)?;
     actix_rt::System::new().block_on(async {
         let probe = Probe::new(&layout)?;
         let mut direct = histogram()?;
         let mut tier = histogram()?;
-        for number in 0..WARMUP + QUERIES {
-            let straight = probe.direct(number).await?;
-            tokio::time::sleep(PAUSE).await;
-            let through = probe.tier(number).await?;
-            tokio::time::sleep(PAUSE).await;
-            if number >= WARMUP {
-                direct.saturating_record(micros(straight));
-                tier.saturating_record(micros(through));
+        for number in 0..WARMUP_QUERIES + MEASURED_QUERIES {
+            let direct_latency = probe.direct(number).await?;
+            tokio::time::sleep(QUERY_PAUSE).await;
+            let tier_latency = probe.tier(number).await?;
+            tokio::time::sleep(QUERY_PAUSE).await;
+            if number >= WARMUP_QUERIES {
+                direct.saturating_record(micros(direct_latency));
+                tier.saturating_record(micros(tier_latency));
             }
         }
-        Ok(Overhead { queries: QUERIES, direct: latency(&direct), tier: latency(&tier) })
+        Ok(Overhead {
+            queries: MEASURED_QUERIES,
+            direct: quantiles(&direct),
+            tier: quantiles(&tier),
+        })
     })
 }
 
@@ -98,7 +104,7 @@
         Ok(Self {
             client: Client::default(),
             instance: layout.instances[0].address.clone(),
-            server: layout::server(server).address,
+            server: layout::published_server(server).address,
             index: index.name.clone(),
             version: index.version,
             shard: shard.name.clone(),
@@ -106,7 +112,7 @@
         })
     }
 
-    /// Time of one query straight to the server.
+    /// Returns the latency of one query sent directly to the server.
     async fn direct(&self, number: usize) -> Result<Duration, Error> {
         let request = target::Request {
             id: format!("overhead-{number}"),
@@ -119,10 +125,10 @@
             payload: String::new(),
             message: None,
         };
-        self.time(&self.server, &request).await
+        self.time_query(&self.server, &request).await
     }
 
-    /// Time of one query through an instance.
+    /// Returns the latency of one query sent through an instance.
     async fn tier(&self, number: usize) -> Result<Duration, Error> {
         let request = call::Request {
             key: format!("overhead-tier-{number}"),
@@ -132,37 +138,37 @@
             deadline_ms: DEADLINE_MS,
             ..call::Request::default()
         };
-        self.time(&self.instance, &request).await
+        self.time_query(&self.instance, &request).await
     }
 
-    async fn time(
+    async fn time_query(
         &self,
         address: &str,
         request: &impl serde::Serialize,
     ) -> Result<Duration, Error> {
         let url = format!("http://{address}/query");
-        let failed = |cause: String| Error::Admin(url.clone(), cause);
+        let query_error = |cause: String| Error::Admin(url.clone(), cause);
         let start = Instant::now();
-        let sent = self.client.post(&url).send_json(request).await;
-        let mut response = sent.map_err(|error| failed(error.to_string()))?;
-        response.body().await.map_err(|error| failed(error.to_string()))?;
+        let result = self.client.post(&url).send_json(request).await;
+        let mut response = result.map_err(|error| query_error(error.to_string()))?;
+        response.body().await.map_err(|error| query_error(error.to_string()))?;
         if response.status().is_success() {
             Ok(start.elapsed())
         } else {
-            Err(failed(response.status().to_string()))
+            Err(query_error(response.status().to_string()))
         }
     }
 }
 
-/// A histogram of microseconds with three significant digits.
+/// Creates a histogram of latencies in microseconds with three significant digits.
 fn histogram() -> Result<Histogram<u64>, Error> {
-    Histogram::new_with_max(LONGEST_US, 3).map_err(|error| Error::Plot(error.to_string()))
+    Histogram::new_with_max(MAX_LATENCY_US, 3).map_err(|error| Error::Plot(error.to_string()))
 }
 
-fn latency(histogram: &Histogram<u64>) -> Latency {
+fn quantiles(histogram: &Histogram<u64>) -> Latency {
     Latency { p50_us: histogram.value_at_quantile(0.5), p99_us: histogram.value_at_quantile(0.99) }
 }
 
-fn micros(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,85 +1,90 @@
-//! A mix resolved against a layout: index, shards, deadline and rate of each class.
+//! Resolves a mix against a layout: index, shards, deadline and rate of each query class.
 
 use ladder_schema::{catalogue, publication};
 
 use crate::capacity;
 use crate::error::Error;
 use crate::layout::Layout;
-use crate::mix::{Class, Fan, Mix};
+use crate::mix::{Class, FanOut, Mix};
 
-/// One class, ready to be scheduled.
+/// Query class with everything that is needed to schedule its queries.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The class.
+    /// Query class as defined in the mix.
     pub class: Class,
-    /// Index that is asked.
+    /// Name of the index that the queries of the class ask.
     pub index: String,
-    /// Shards that a query may ask, with the service of each.
+    /// Shards that a query of the class may ask, with the service of each.
     pub shards: Vec<publication::Shard>,
-    /// Shards of one query; at most the length of `shards`.
-    pub fan: usize,
-    /// The query names no shards: it asks the whole index.
-    pub whole: bool,
-    /// The operation runs at most once for each key.
+    /// Number of shards that one query asks; at most the length of `shards`.
+    pub fan_out: usize,
+    /// Whether a query asks the whole index and therefore names no shards.
+    pub whole_index: bool,
+    /// Whether the operation is non-idempotent: it may run at most once for each request key.
     pub unrepeatable: bool,
-    /// How long the caller waits, in milliseconds.
+    /// Deadline of a query in milliseconds.
     pub deadline_ms: u32,
-    /// Queries a second at load 1.
+    /// Queries per second of the class at load 1.
     pub rate: f64,
 }
 
-/// Resolves each class of a mix.
+/// Resolves each query class of a mix.
 pub fn resolve(mix: &Mix, layout: &Layout) -> Result<Vec<Plan>, Error> {
-    mix.classes.iter().map(|class| one(class, layout)).collect()
+    mix.classes.iter().map(|class| resolve_class(class, layout)).collect()
 }
 
-/// The load at which all classes together send `rate` queries a second.
+/// Returns the load at which all query classes together send `rate` queries per second.
 pub fn load_of(plans: &[Plan], rate: f64) -> Result<f64, Error> {
-    let unit: f64 = plans.iter().map(|plan| plan.rate).sum();
-    if unit > 0.0 { Ok(rate / unit) } else { Err(Error::EmptyMix) }
+    let rate_at_full_load: f64 = plans.iter().map(|plan| plan.rate).sum();
+    if rate_at_full_load > 0.0 { Ok(rate / rate_at_full_load) } else { Err(Error::EmptyMix) }
 }
 
-fn one(class: &Class, layout: &Layout) -> Result<Plan, Error> {
-    let (index, shards) = shards(class, layout)?;
+fn resolve_class(class: &Class, layout: &Layout) -> Result<Plan, Error> {
+    let (index, shards) = shards_for(class, layout)?;
     let operation = operation(class, layout, &shards);
-    let fan = match class.fan {
-        Fan::All => shards.len(),
-        Fan::Some(count) => count.clamp(1, shards.len()),
+    let fan_out = match class.fan {
+        FanOut::All => shards.len(),
+        FanOut::Some(count) => count.clamp(1, shards.len()),
     };
-    let named = class.deadline_ms;
+    let class_deadline_ms = class.deadline_ms;
     Ok(Plan {
-        whole: class.fan == Fan::All && shards.len() == index.shards.len(),
+        whole_index: class.fan == FanOut::All && shards.len() == index.shards.len(),
         unrepeatable: operation.unrepeatable,
-        deadline_ms: if named > 0 { named } else { operation.deadline_ms },
-        rate: class.share * queries_per_second(layout, &shards, fan),
+        deadline_ms: if class_deadline_ms > 0 { class_deadline_ms } else { operation.deadline_ms },
+        rate: class.share * queries_per_second(layout, &shards, fan_out),
         index: index.name.clone(),
         class: class.clone(),
         shards,
-        fan,
+        fan_out,
     })
 }
 
-/// The index with the most shards of services that list the class's operation, and these shards.
-fn shards<'a>(
+/// Returns the index with the most shards of services that list the operation of the class, and
+/// these shards.
+fn shards_for<'a>(
     class: &Class,
     layout: &'a Layout,
 ) -> Result<(&'a publication::Index, Vec<publication::Shard>), Error> {
     layout
         .indexes()
-        .map(|index| (index, matching(class, layout, index)))
+        .map(|index| (index, shards_with_operation(class, layout, index)))
         .max_by_key(|(_, shards)| shards.len())
         .filter(|(_, shards)| !shards.is_empty())
         .ok_or_else(|| Error::Operation(class.operation.clone()))
 }
 
-fn matching(class: &Class, layout: &Layout, index: &publication::Index) -> Vec<publication::Shard> {
-    let listed = |shard: &&publication::Shard| {
+fn shards_with_operation(
+    class: &Class,
+    layout: &Layout,
+    index: &publication::Index,
+) -> Vec<publication::Shard> {
+    let lists_operation = |shard: &&publication::Shard| {
         entry(layout, &shard.service).is_some_and(|entry| {
             let mut operations = entry.operations.iter();
             operations.any(|operation| operation.name == class.operation)
         })
     };
-    index.shards.iter().filter(listed).cloned().collect()
+    index.shards.iter().filter(lists_operation).cloned().collect()
 }
 
 fn entry<'a>(layout: &'a Layout, service: &str) -> Option<&'a catalogue::Entry> {
@@ -102,29 +107,29 @@
         .unwrap_or_default()
 }
 
-/// Queries a second that the slowest of the services carries.
+/// Returns the queries per second that the service with the least capacity can process.
 ///
-/// A query costs one call at each service it touches. With `fan` of `n` shards drawn evenly, a
-/// service with `k` of the shards is touched by a share of `1 - C(n-k, fan) / C(n, fan)` of the
-/// queries.
-fn queries_per_second(layout: &Layout, shards: &[publication::Shard], fan: usize) -> f64 {
-    let mut lowest = f64::INFINITY;
+/// A query costs one call at each service that it asks. If the query asks `fan_out` of `n` shards,
+/// selected uniformly, it asks a service that has `k` of these shards with probability `1 - C(n-k,
+/// fan_out) / C(n, fan_out)`.
+fn queries_per_second(layout: &Layout, shards: &[publication::Shard], fan_out: usize) -> f64 {
+    let mut lowest_rate = f64::INFINITY;
     for shard in shards {
         let servers = layout.servers(&shard.service);
         let same = |other: &&publication::Shard| other.service == shard.service;
-        let held = shards.iter().filter(same).count();
-        let touched = touched(shards.len(), held, fan);
-        lowest = lowest.min(capacity::calls_per_second(&servers) / touched);
+        let service_shards = shards.iter().filter(same).count();
+        let probability = touch_probability(shards.len(), service_shards, fan_out);
+        lowest_rate = lowest_rate.min(capacity::calls_per_second(&servers) / probability);
     }
-    if lowest.is_finite() { lowest } else { 0.0 }
+    if lowest_rate.is_finite() { lowest_rate } else { 0.0 }
 }
 
-fn touched(shards: usize, held: usize, fan: usize) -> f64 {
-    let mut missed = 1.0;
-    for draw in 0..fan {
-        let left = shards.saturating_sub(draw);
-        let others = left.saturating_sub(held);
-        missed *= others as f64 / left.max(1) as f64;
+fn touch_probability(shards: usize, service_shards: usize, fan_out: usize) -> f64 {
+    let mut miss_probability = 1.0;
+    for drawn in 0..fan_out {
+        let remaining = shards.saturating_sub(drawn);
+        let remaining_others = remaining.saturating_sub(service_shards);
+        miss_probability *= remaining_others as f64 / remaining.max(1) as f64;
     }
-    1.0 - missed
+    1.0 - miss_probability
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,32 +1,33 @@
-//! The report of a comparison: tables and plots in one HTML page.
+//! Report of a comparison: tables and plots in one HTML page.
 
 use std::collections::BTreeMap;
 
 use crate::compare::{self, Row, Summary};
 use crate::error::Error;
 use crate::plot::{self, Plot, Series};
-use crate::result::{Class, Run, SHARES};
-use crate::run::STEADY;
+use crate::result::{Class, LATENCY_QUANTILES, Run};
+use crate::run::NO_FAULTS_SCENARIO;
 use crate::table::{Table, escape};
 
 const STYLE: &str = "body{font-family:sans-serif;margin:2em}\
     table{border-collapse:collapse;font-size:80%}\
     td,th{border:1px solid #ccc;padding:2px 6px;text-align:right}";
 
-/// All tables: promises and load, one for each class, refusals.
+/// Returns all tables of the report: load and faulty queries, one table for each query class, and
+/// the reasons of refusals and missing shards.
 pub fn tables(rows: &[Row]) -> Vec<Table> {
-    let mut tables = vec![promises(rows)];
-    let classes = compare::classes(rows);
-    tables.extend(classes.iter().map(|class| figures(rows, class)));
-    tables.push(reasons(rows));
+    let mut tables = vec![load_table(rows)];
+    let classes = compare::class_names(rows);
+    tables.extend(classes.iter().map(|class| class_table(rows, class)));
+    tables.push(reason_table(rows));
     tables
 }
 
-fn names(row: &Row) -> Vec<String> {
+fn setting_cells(row: &Row) -> Vec<String> {
     vec![row.scenario.clone(), row.label.clone(), format!("{:.2}", row.load)]
 }
 
-fn promises(rows: &[Row]) -> Table {
+fn load_table(rows: &[Row]) -> Table {
     let head = [
         "scenario",
         "label",
@@ -45,15 +46,15 @@
     ];
     let mut table = Table::new("Load on the targets, and promises", &head);
     for row in rows {
-        let most = |of: fn(&Run) -> u32| row.runs.iter().map(of).max().unwrap_or(0);
-        let mut cells = names(row);
+        let max = |of: fn(&Run) -> u32| row.runs.iter().map(of).max().unwrap_or(0);
+        let mut cells = setting_cells(row);
         cells.extend([
             row.runs.len().to_string(),
             format!("{:.1}", row.median(|run| run.rate)),
             format!("{:.3}", row.median(|run| run.extra_load)),
             format!("{:.3}", row.median(|run| run.busy_ratio)),
-            most(|run| run.peak_connections).to_string(),
-            most(|run| run.connection_limit).to_string(),
+            max(|run| run.peak_connections).to_string(),
+            max(|run| run.connection_limit).to_string(),
             row.sum(|run| run.refused_connections).to_string(),
             row.sum(|run| run.overall.wrong).to_string(),
             row.sum(|run| run.overall.doubled).to_string(),
@@ -65,7 +66,7 @@
     table
 }
 
-fn figures(rows: &[Row], class: &str) -> Table {
+fn class_table(rows: &[Row], class: &str) -> Table {
     let head = [
         "scenario",
         "label",
@@ -88,11 +89,11 @@
     for row in rows {
         let median = |figure: fn(&Class) -> f64| row.class_median(class, figure);
         let sum = |count: fn(&Class) -> u64| {
-            let of = |run: &Run| compare::find(run, class).map_or(0, count);
-            row.sum(of).to_string()
+            let class_count = |run: &Run| compare::find_class(run, class).map_or(0, count);
+            row.sum(class_count).to_string()
         };
-        let refused = row.reasons(class, |class| &class.refusals);
-        let mut cells = names(row);
+        let refused = row.counts_by_reason(class, |class| &class.refusals);
+        let mut cells = setting_cells(row);
         cells.extend([
             sum(|class| class.sent),
             refused.values().sum::<u64>().to_string(),
@@ -119,25 +120,25 @@
     class.calls as f64 / class.needed as f64
 }
 
-fn reasons(rows: &[Row]) -> Table {
+fn reason_table(rows: &[Row]) -> Table {
     let head = ["scenario", "label", "load", "class", "refused", "missing shards"];
     let mut table = Table::new("Refusals and missing shards by reason", &head);
     for row in rows {
-        for class in compare::classes(rows).iter().skip(1) {
-            let refused = row.reasons(class, |class| &class.refusals);
-            let missing = row.reasons(class, |class| &class.missing);
+        for class in compare::class_names(rows).iter().skip(1) {
+            let refused = row.counts_by_reason(class, |class| &class.refusals);
+            let missing = row.counts_by_reason(class, |class| &class.missing);
             if refused.is_empty() && missing.is_empty() {
                 continue;
             }
-            let mut cells = names(row);
-            cells.extend([class.clone(), list(&refused), list(&missing)]);
+            let mut cells = setting_cells(row);
+            cells.extend([class.clone(), format_counts(&refused), format_counts(&missing)]);
             table.rows.push(cells);
         }
     }
     table
 }
 
-fn list(counts: &BTreeMap<String, u64>) -> String {
+fn format_counts(counts: &BTreeMap<String, u64>) -> String {
     let counts = counts.iter();
     let counts = counts.map(|(reason, count)| {
         let reason = reason.strip_prefix("REASON_").unwrap_or(reason);
@@ -146,45 +147,46 @@
     counts.collect::<Vec<_>>().join(" ")
 }
 
-/// Plots of the headline class without faults; `load` is that of the quantiles.
+/// Draws the plots of the headline query class in runs without faults. The latency quantiles are
+/// plotted for the load nearest to `load`.
 pub fn plots(rows: &[Row], load: f64) -> Result<Vec<String>, Error> {
     let load = compare::nearest_load(rows, load);
-    let against = |title: &str, unit: &str, figure: fn(&Class) -> f64| {
+    let draw_against_load = |title: &str, unit: &str, figure: fn(&Class) -> f64| {
         let plot = Plot {
             title: title.to_owned(),
-            x: "load, share of capacity".to_owned(),
-            y: unit.to_owned(),
+            x_label: "load, share of capacity".to_owned(),
+            y_label: unit.to_owned(),
             series: against_load(rows, figure),
         };
         plot::draw(&plot)
     };
     Ok(vec![
-        against("99th percentile against load", "ms", |class| class.p99_ms)?,
-        against("Complete answers in time", "answers/s", |class| class.goodput)?,
-        against("Coverage", "share of shards asked", |class| class.coverage)?,
+        draw_against_load("99th percentile against load", "ms", |class| class.p99_ms)?,
+        draw_against_load("Complete answers in time", "answers/s", |class| class.goodput)?,
+        draw_against_load("Coverage", "share of shards asked", |class| class.coverage)?,
         plot::draw(&Plot {
             title: format!("Latency by share of answers at load {load:.2}"),
-            x: "share of answers slower: 10 to the power of -x".to_owned(),
-            y: "ms".to_owned(),
-            series: quantiles(rows, load),
+            x_label: "share of answers slower: 10 to the power of -x".to_owned(),
+            y_label: "ms".to_owned(),
+            series: quantile_series(rows, load),
         })?,
     ])
 }
 
 fn against_load(rows: &[Row], figure: fn(&Class) -> f64) -> Vec<Series> {
     let mut series: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
-    for row in rows.iter().filter(|row| row.scenario == STEADY) {
+    for row in rows.iter().filter(|row| row.scenario == NO_FAULTS_SCENARIO) {
         let point = (row.load, row.median(|run| figure(run.headline())));
         series.entry(row.label.clone()).or_default().push(point);
     }
     series.into_iter().map(Series::from).collect()
 }
 
-fn quantiles(rows: &[Row], load: f64) -> Vec<Series> {
-    let steady = rows.iter().filter(|row| row.scenario == STEADY);
+fn quantile_series(rows: &[Row], load: f64) -> Vec<Series> {
+    let steady = rows.iter().filter(|row| row.scenario == NO_FAULTS_SCENARIO);
     let at_load = steady.filter(|row| (row.load - load).abs() < f64::EPSILON);
     let series = at_load.map(|row| {
-        let points = SHARES.iter().enumerate().map(|(at, share)| {
+        let points = LATENCY_QUANTILES.iter().enumerate().map(|(at, share)| {
             let latency = |run: &Run| run.headline().quantiles_ms.get(at).copied();
             let median = row.median(|run| latency(run).unwrap_or(f64::NAN));
             (-(1.0 - share).log10(), median)
@@ -194,7 +196,7 @@
     series.collect()
 }
 
-/// The page, with nothing to load from elsewhere.
+/// Returns the HTML page, which refers to no other file.
 pub fn page(tables: &[Table], plots: &[String], summary: &Summary) -> String {
     let tables: Vec<String> = tables.iter().map(Table::to_html).collect();
     format!(
--- a/crates/load/src/result.rs
+++ b/crates/load/src/result.rs
@@ -1,64 +1,65 @@
-//! Result of one run, as written to a file.
+//! Result of one run, as written to a result file.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Shares of the answered at which a result gives the latency.
-pub const SHARES: [f64; 10] = [0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9995];
+/// Quantiles at which a result lists the latency of the answered queries.
+pub const LATENCY_QUANTILES: [f64; 10] =
+    [0.0, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 0.9995];
 
-/// Figures of one class of queries, or of all.
+/// Figures of one query class, or of all classes together.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Class {
-    /// Name of the class.
+    /// Name of the query class.
     pub name: String,
-    /// The comparison's last line is about this class.
+    /// Whether the summary line of a comparison reports on this query class.
     pub headline: bool,
-    /// Queries scheduled after the warm-up.
+    /// Number of queries scheduled after the warm-up.
     pub sent: u64,
-    /// Answered with 200 or 206, also late.
+    /// Number of queries answered with HTTP status 200 or 206, including late answers.
     pub answered: u64,
-    /// Answered with every shard asked.
+    /// Number of queries whose answer covers all shards asked.
     pub complete: u64,
-    /// Answered after the deadline.
+    /// Number of queries answered after their deadline.
     pub late: u64,
-    /// Median latency of the answered, in milliseconds.
+    /// Median latency of the answered queries, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the answered, in milliseconds.
+    /// 99th percentile latency of the answered queries, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile of the answered, in milliseconds.
+    /// 99.9th percentile latency of the answered queries, in milliseconds.
     pub p999_ms: f64,
-    /// Latency at each of [`SHARES`], in milliseconds.
+    /// Latency of the answered queries at each of [`LATENCY_QUANTILES`], in milliseconds.
     pub quantiles_ms: Vec<f64>,
-    /// Share of the answered that are complete.
+    /// Share of the answered queries whose answer is complete.
     pub complete_share: f64,
-    /// Shards covered by answers, of those asked by all queries sent.
+    /// Shards covered by answers, as a share of the shards asked by all queries sent.
     pub coverage: f64,
-    /// Complete answers in time, each second.
+    /// Complete answers before the deadline, per second.
     pub goodput: f64,
-    /// Answers in time, complete or partial, each second.
+    /// Complete and partial answers before the deadline, per second.
     pub answers_per_second: f64,
-    /// Shards covered in time, each second.
+    /// Shards covered by answers before the deadline, per second.
     pub shards_per_second: f64,
-    /// Executions in the ledgers of these queries, the warm-up included.
+    /// Number of executions of these queries in the target ledgers, including the warm-up.
     pub calls: u64,
-    /// Calls that these queries needed, the warm-up included: one for each service of a covered
-    /// shard or of a missing one that may have run.
+    /// Number of calls that these queries needed, including the warm-up: one for each service with
+    /// a shard that was covered, or is missing but may have run.
     pub needed: u64,
-    /// Refused queries by reason.
+    /// Number of refused queries by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Missing shards of answers by reason.
+    /// Number of shards missing from answers, by reason.
     pub missing: BTreeMap<String, u64>,
-    /// Queries by the verdict of their answer.
+    /// Number of queries by the verdict of their answer.
     pub verdicts: BTreeMap<String, u64>,
-    /// Queries whose answer or refusal is untrue, the warm-up included.
+    /// Number of queries whose answer or refusal is wrong, including the warm-up.
     pub wrong: u64,
-    /// Unrepeatable queries that ran more than once, the warm-up included.
+    /// Number of non-idempotent queries that ran more than once, including the warm-up.
     pub doubled: u64,
-    /// Queries without an answer, the warm-up included.
+    /// Number of queries without a response, including the warm-up.
     pub lost: u64,
-    /// Queries that were asked a second time, the warm-up included.
+    /// Number of queries that were sent a second time, including the warm-up.
     pub retried: u64,
 }
 
@@ -66,50 +67,53 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Run {
-    /// Groups runs of one setting.
+    /// Label of the run; runs that are compared as one configuration have the same label.
     pub label: String,
-    /// Name of the mix.
+    /// Name of the mix of query classes.
     pub mix: String,
-    /// Name of the schedule of faults.
+    /// Name of the fault schedule.
     pub scenario: String,
-    /// Share of the capacity.
+    /// Load of the run, as a share of the capacity.
     pub load: f64,
-    /// Queries scheduled each second.
+    /// Scheduled queries per second.
     pub rate: f64,
-    /// Seed of the schedule.
+    /// Seed of the query schedule.
     pub seed: u64,
     /// Length of the measured part in seconds.
     pub seconds: f64,
     /// Length of the warm-up in seconds.
     pub warmup: f64,
-    /// Instances behind the balancer.
+    /// Number of instances that the load balancer sends queries to.
     pub instances: u64,
-    /// Faults on the schedule.
+    /// Faults that the run injects, each as `AT_S:KIND:NAME`.
     pub faults: Vec<String>,
-    /// Figures by class.
+    /// Figures of each query class.
     pub classes: Vec<Class>,
-    /// Figures of all classes.
+    /// Figures of all query classes together.
     pub overall: Class,
-    /// Calls begun at the targets.
+    /// Number of calls that the targets started.
     pub calls: u64,
-    /// Service time that the targets spent, of that which the needed calls take on average.
+    /// Service time that the targets spent, divided by the average service time of the needed
+    /// calls.
     pub busy_ratio: f64,
-    /// Calls begun at the targets for each needed one.
+    /// Number of calls that the targets started, divided by the number of needed calls.
     pub extra_load: f64,
-    /// Most connections open at once at the server that came nearest to its limit.
+    /// Largest number of simultaneous connections at the server that came closest to its connection
+    /// limit.
     pub peak_connections: u32,
-    /// The limit of that server.
+    /// Connection limit of the server that came closest to its limit.
     pub connection_limit: u32,
-    /// Connections that the servers refused.
+    /// Number of connections that the servers refused.
     pub refused_connections: u64,
-    /// Connections that instances refused to the balancer.
+    /// Number of connections that instances refused to the load balancer.
     pub passed_over: u64,
-    /// The first few wrong, doubled or lost queries, in words.
+    /// Descriptions of the first few queries that were wrong, repeated although non-idempotent, or
+    /// lost.
     pub samples: Vec<String>,
 }
 
 impl Run {
-    /// Figures of the class that the comparison is about, or of all.
+    /// Returns the figures of the headline query class, or of all classes if none is marked.
     pub fn headline(&self) -> &Class {
         let marked = self.classes.iter().find(|class| class.headline);
         marked.unwrap_or(&self.overall)
--- a/crates/load/src/rotation.rs
+++ b/crates/load/src/rotation.rs
@@ -1,4 +1,4 @@
-//! Which instances the balancer sends callers to: those whose health check says so.
+//! Round-robin selection of the instances whose health check succeeds, as a load balancer does.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,12 +6,12 @@
 
 use awc::Client;
 
-/// Between two health checks of an instance.
-const PERIOD: Duration = Duration::from_millis(250);
-/// A health check that takes longer has failed.
-const TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between two health checks of an instance.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a health check; a check that takes longer counts as failed.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The instances in turn; clones share the state.
+/// Instances in round-robin order; clones share the health state.
 #[derive(Clone)]
 pub struct Rotation {
     members: Rc<[Member]>,
@@ -19,12 +19,12 @@
 
 struct Member {
     address: String,
-    /// The last health check succeeded.
+    /// Whether the last health check succeeded.
     ready: Cell<bool>,
 }
 
 impl Rotation {
-    /// All instances, held ready until their first check.
+    /// Creates a rotation in which all instances count as ready until their first health check.
     pub fn new(addresses: &[String]) -> Self {
         let members = addresses
             .iter()
@@ -32,40 +32,41 @@
         Self { members: members.collect() }
     }
 
-    /// Number of instances, ready or not.
+    /// Returns the number of instances, ready or not.
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is no instance at all.
+    /// Whether the rotation has no instances.
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Address of the next ready instance from `turn` on, which is moved to it; the one at `turn`
-    /// itself when none is ready.
-    pub fn next(&self, turn: &mut usize) -> &str {
+    /// Returns the address of the first ready instance at or after `position` and sets `position`
+    /// to that instance. If no instance is ready, returns the one at `position`.
+    pub fn next(&self, position: &mut usize) -> &str {
         let len = self.members.len();
-        let ready = (*turn..*turn + len).find(|turn| self.members[turn % len].ready.get());
-        *turn = ready.unwrap_or(*turn);
-        &self.members[*turn % len].address
+        let ready_position =
+            (*position..*position + len).find(|position| self.members[position % len].ready.get());
+        *position = ready_position.unwrap_or(*position);
+        &self.members[*position % len].address
     }
 
-    /// Checks all instances for ever.
-    pub async fn check(self) {
-        let client = Client::builder().timeout(TIMEOUT).finish();
+    /// Checks the health of all instances repeatedly; never returns.
+    pub async fn run_health_checks(self) {
+        let client = Client::builder().timeout(HEALTH_CHECK_TIMEOUT).finish();
         loop {
             self.check_once(&client).await;
-            tokio::time::sleep(PERIOD).await;
+            tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
         }
     }
 
-    /// Checks each instance once.
+    /// Checks the health of each instance once.
     pub async fn check_once(&self, client: &Client) {
         for member in self.members.iter() {
             let url = format!("http://{}/ready", member.address);
-            let answer = client.get(url).send().await;
-            let ready = answer.is_ok_and(|response| response.status().is_success());
+            let response = client.get(url).send().await;
+            let ready = response.is_ok_and(|response| response.status().is_success());
             member.ready.set(ready);
         }
     }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: schedule, sending threads, faults, audit, figures.
+//! One run: generates the schedule, sends it on several threads, injects faults, audits the answers
+//! and calculates the figures.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -20,26 +21,27 @@
 use crate::schedule::{self, Arrival};
 use crate::tally::{self, Tally};
 
-/// Scenario of a run without faults.
-pub const STEADY: &str = "steady";
-/// Threads that send and receive.
-const THREADS: usize = 4;
-/// Between the drawing of the schedule and its first query.
-const LEAD: Duration = Duration::from_millis(300);
-/// After the last answer, before the ledgers are read: cancelled work is still being noted.
-const SETTLE: Duration = Duration::from_millis(500);
-const SAMPLES: usize = 12;
+/// Scenario name of a run without faults.
+pub const NO_FAULTS_SCENARIO: &str = "steady";
+/// Number of threads that send queries and receive answers.
+const SENDER_THREADS: usize = 4;
+/// Delay between the generation of the schedule and its first query.
+const START_DELAY: Duration = Duration::from_millis(300);
+/// Delay between the last answer and the read of the target ledgers: the targets still record
+/// cancelled work during this time.
+const LEDGER_DELAY: Duration = Duration::from_millis(500);
+const MAX_SAMPLES: usize = 12;
 
-/// How much is sent.
+/// Amount of load that a run sends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Amount {
-    /// Share of the capacity.
+    /// Load as a share of the capacity.
     Load(f64),
-    /// Queries a second, over all classes.
+    /// Queries per second over all query classes.
     Rate(f64),
 }
 
-/// Settings of one run; the defaults are ten seconds after two of warm-up, without faults.
+/// Settings of one run. Defaults: 10 seconds measured after 2 seconds of warm-up, without faults.
 #[derive(Clone, Debug)]
 pub struct Options {
     run: PathBuf,
@@ -56,7 +58,8 @@
 }
 
 impl Options {
-    /// Sends `amount` to the layout of a `run.json`.
+    /// Settings of a run that sends `amount` to the processes listed in the `run.json` at path
+    /// `run`.
     pub fn new(run: PathBuf, amount: Amount) -> Self {
         Self {
             run,
@@ -66,70 +69,71 @@
             warmup: Duration::from_secs(2),
             seed: 1,
             label: "run".to_owned(),
-            scenario: STEADY.to_owned(),
+            scenario: NO_FAULTS_SCENARIO.to_owned(),
             dropped: Vec::new(),
             faults: Vec::new(),
             retries: false,
         }
     }
 
-    /// What is called; by default the mix of the layout's user.
+    /// Sets the mix of query classes; the default is the mix of the layout's user.
     #[must_use]
     pub fn mix(mut self, mix: Option<Mix>) -> Self {
         self.mix = mix;
         self
     }
 
-    /// Length of the measured part.
+    /// Sets the length of the measured part of the run.
     #[must_use]
     pub fn length(mut self, length: Duration) -> Self {
         self.length = length;
         self
     }
 
-    /// Length of the part before it, which is checked but not measured.
+    /// Sets the length of the warm-up before the measured part. The answers of the warm-up are
+    /// checked, but not part of the latencies and rates.
     #[must_use]
     pub fn warmup(mut self, warmup: Duration) -> Self {
         self.warmup = warmup;
         self
     }
 
-    /// Seed of the schedule.
+    /// Sets the seed of the query schedule.
     #[must_use]
     pub fn seed(mut self, seed: u64) -> Self {
         self.seed = seed;
         self
     }
 
-    /// Label of the result.
+    /// Sets the label of the result.
     #[must_use]
     pub fn label(mut self, label: String) -> Self {
         self.label = label;
         self
     }
 
-    /// Name of the schedule of faults.
+    /// Sets the name of the fault schedule.
     #[must_use]
     pub fn scenario(mut self, scenario: String) -> Self {
         self.scenario = scenario;
         self
     }
 
-    /// Instances that the balancer leaves out.
+    /// Sets the names of the instances that the load balancer sends no queries to.
     #[must_use]
     pub fn dropped(mut self, dropped: Vec<String>) -> Self {
         self.dropped = dropped;
         self
     }
 
-    /// Faults, with times after the start of the warm-up.
+    /// Sets the faults to inject; their times count from the start of the warm-up.
     #[must_use]
     pub fn faults(mut self, faults: Vec<Fault>) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Whether callers ask once more when a query is lost.
+    /// Sets whether callers send a lost query a second time.
     #[must_use]
     pub fn retries(mut self, retries: bool) -> Self {
         self.retries = retries;
@@ -137,92 +141,95 @@
     }
 }
 
-/// What a run needs at its end.
+/// State of a run that is needed to calculate its figures at the end.
 struct Session {
     options: Options,
     layout: Layout,
     mix: Mix,
     plans: Vec<Plan>,
     load: f64,
-    before: Vec<standin::Ledger>,
+    ledgers_before: Vec<standin::Ledger>,
 }
 
-/// What the targets know after a run.
-struct Aftermath {
+/// Ledgers and connection counts of the targets after a run.
+struct TargetState {
     ledgers: Vec<standin::Ledger>,
-    /// Connections of the server that came nearest to its limit.
-    nearest: Peak,
+    /// Connections of the server that came closest to its connection limit.
+    fullest_server: Peak,
 }
 
-impl Aftermath {
+impl TargetState {
     async fn read(layout: &Layout) -> Result<Self, Error> {
         let admin = Admin::default();
-        let share = |peak: &Peak| f64::from(peak.connections) / f64::from(peak.limit.max(1));
+        let used_share = |peak: &Peak| f64::from(peak.connections) / f64::from(peak.limit.max(1));
         let peaks = admin.peaks(layout).await?.into_iter();
-        let nearest = peaks.max_by(|a, b| share(a).total_cmp(&share(b)));
-        Ok(Self { ledgers: admin.ledgers(layout).await?, nearest: nearest.unwrap_or_default() })
+        let fullest_server = peaks.max_by(|a, b| used_share(a).total_cmp(&used_share(b)));
+        Ok(Self {
+            ledgers: admin.ledgers(layout).await?,
+            fullest_server: fullest_server.unwrap_or_default(),
+        })
     }
 }
 
-/// Runs to the end and gives the figures; must be called outside any actix system.
+/// Performs a run and returns its figures; must be called outside any actix system.
 pub fn execute(options: Options) -> Result<Run, Error> {
     let layout = Layout::read(&options.run)?;
-    let mix = options.mix.clone().unwrap_or_else(|| Mix::of(&layout.user));
+    let mix = options.mix.clone().unwrap_or_else(|| Mix::for_user(&layout.user));
     let plans = plan::resolve(&mix, &layout)?;
     let load = match options.amount {
         Amount::Load(load) => load,
         Amount::Rate(rate) => plan::load_of(&plans, rate)?,
     };
     let system = actix_rt::System::new();
-    let before = system.block_on(Admin::default().ledgers(&layout))?;
-    if audit::is_used(&before, &prefix(options.seed)) {
+    let ledgers_before = system.block_on(Admin::default().ledgers(&layout))?;
+    if audit::is_prefix_used(&ledgers_before, &key_prefix(options.seed)) {
         return Err(Error::Seed(options.seed));
     }
-    let session = Session { options, layout, mix, plans, load, before };
+    let session = Session { options, layout, mix, plans, load, ledgers_before };
     let records = session.send(&system)?;
-    let after = system.block_on(Aftermath::read(&session.layout))?;
-    Ok(session.figures(&records, &after))
+    let target_state = system.block_on(TargetState::read(&session.layout))?;
+    Ok(session.to_result(&records, &target_state))
 }
 
-fn prefix(seed: u64) -> String {
+fn key_prefix(seed: u64) -> String {
     format!("s{seed:x}")
 }
 
 impl Session {
     fn send(&self, system: &actix_rt::SystemRunner) -> Result<Vec<Record>, Error> {
         let length = self.options.warmup + self.options.length;
-        let arrivals = schedule::draw(&self.plans, self.load, length, self.options.seed);
+        let arrivals = schedule::draw_arrivals(&self.plans, self.load, length, self.options.seed);
         let options = caller::Options {
-            instances: self.addresses(),
-            prefix: prefix(self.options.seed),
+            instances: self.balanced_addresses(),
+            key_prefix: key_prefix(self.options.seed),
             retries: self.options.retries,
-            checks: true,
-            start: Instant::now() + LEAD,
+            health_checks: true,
+            start: Instant::now() + START_DELAY,
         };
-        let threads: Vec<_> = deal(arrivals)
+        let threads: Vec<_> = split_among_threads(arrivals)
             .into_iter()
-            .map(|share| spawn(self.plans.clone(), share, options.clone()))
+            .map(|part| spawn_sender(self.plans.clone(), part, options.clone()))
             .collect();
-        let injected = fault::inject(&self.layout, &self.options.faults, options.start);
-        let injected = system.block_on(injected);
+        let injection = fault::inject(&self.layout, &self.options.faults, options.start);
+        let injected = system.block_on(injection);
         let mut records = Vec::new();
         for thread in threads {
             records.extend(thread.join().map_err(|_| Error::Thread)?);
         }
         injected?;
-        thread::sleep(SETTLE);
+        thread::sleep(LEDGER_DELAY);
         Ok(records)
     }
 
-    fn addresses(&self) -> Vec<String> {
+    fn balanced_addresses(&self) -> Vec<String> {
         let dropped = &self.options.dropped;
         let kept = |instance: &&layout::Instance| !dropped.contains(&instance.name);
         let kept = self.layout.instances.iter().filter(kept);
         kept.map(|instance| instance.address.clone()).collect()
     }
 
-    fn figures(&self, records: &[Record], after: &Aftermath) -> Run {
-        let findings = audit::audit(&self.plans, records, &after.ledgers);
+    fn to_result(&self, records: &[Record], target_state: &TargetState) -> Run {
+        let findings = audit::audit(&self.plans, records, &target_state.ledgers);
         let seconds = self.options.length.as_secs_f64();
         let mut overall = Tally::new("all", false);
         let mut classes: Vec<Tally> = self.plans.iter().map(tally_of).collect();
@@ -240,42 +247,43 @@
             seed: self.options.seed,
             seconds,
             warmup: self.options.warmup.as_secs_f64(),
-            instances: self.addresses().len() as u64,
-            faults: self.options.faults.iter().map(describe).collect(),
+            instances: self.balanced_addresses().len() as u64,
+            faults: self.options.faults.iter().map(fault_text).collect(),
             classes: classes.into_iter().map(|tally| tally.finish(seconds)).collect(),
             overall: overall.finish(seconds),
-            passed_over: records.iter().map(|record| u64::from(record.refusals)).sum(),
-            samples: samples(&self.plans, records, &findings),
+            passed_over: records.iter().map(|record| u64::from(record.connection_refusals)).sum(),
+            samples: describe_samples(&self.plans, records, &findings),
             ..Run::default()
         };
-        self.with_target_figures(run, records, &findings, after)
+        self.add_target_figures(run, records, &findings, target_state)
     }
 
-    fn with_target_figures(
+    fn add_target_figures(
         &self,
         run: Run,
         records: &[Record],
         findings: &[Finding],
-        after: &Aftermath,
+        target_state: &TargetState,
     ) -> Run {
-        let sum = |of: fn(&standin::Ledger) -> u64| {
-            let total = |ledgers: &[standin::Ledger]| ledgers.iter().map(of).sum::<u64>();
-            total(&after.ledgers).saturating_sub(total(&self.before))
+        let increase = |counter: fn(&standin::Ledger) -> u64| {
+            let total = |ledgers: &[standin::Ledger]| ledgers.iter().map(counter).sum::<u64>();
+            total(&target_state.ledgers).saturating_sub(total(&self.ledgers_before))
         };
-        let calls = sum(|ledger| ledger.calls);
+        let calls = increase(|ledger| ledger.calls);
         let expected = self.expected_us(records, findings).max(1.0);
         Run {
             calls,
             extra_load: tally::ratio(calls, run.overall.needed),
-            busy_ratio: sum(|ledger| ledger.busy_us) as f64 / expected,
-            peak_connections: after.nearest.connections,
-            connection_limit: after.nearest.limit,
-            refused_connections: sum(|ledger| u64::from(ledger.refused_connections)),
+            busy_ratio: increase(|ledger| ledger.busy_us) as f64 / expected,
+            peak_connections: target_state.fullest_server.connections,
+            connection_limit: target_state.fullest_server.limit,
+            refused_connections: increase(|ledger| u64::from(ledger.refused_connections)),
             ..run
         }
     }
 
-    /// Service time that the needed calls take on average, in microseconds.
+    /// Returns the average service time of the needed calls, added up over all queries, in
+    /// microseconds.
     fn expected_us(&self, records: &[Record], findings: &[Finding]) -> f64 {
         let mean = |plan: &Plan| {
             let servers = self.layout.servers(&plan.shards[0].service);
@@ -291,43 +299,43 @@
     Tally::new(&plan.class.name, plan.class.headline)
 }
 
-fn describe(fault: &Fault) -> String {
-    format!("{}:{:?}:{}", fault.at.as_secs_f64(), fault.kind, fault.name)
+fn fault_text(fault: &Fault) -> String {
+    format!("{}:{:?}:{}", fault.start_offset.as_secs_f64(), fault.kind, fault.name)
 }
 
-/// Deals the schedule out to the threads, each share in order of time.
-fn deal(arrivals: Vec<Arrival>) -> Vec<Vec<Arrival>> {
-    let mut shares = vec![Vec::new(); THREADS];
+/// Distributes the schedule over the sending threads; the part of each thread is sorted by time.
+fn split_among_threads(arrivals: Vec<Arrival>) -> Vec<Vec<Arrival>> {
+    let mut parts = vec![Vec::new(); SENDER_THREADS];
     for arrival in arrivals {
-        shares[arrival.sequence as usize % THREADS].push(arrival);
+        parts[arrival.sequence as usize % SENDER_THREADS].push(arrival);
     }
-    shares
+    parts
 }
 
-fn spawn(
+fn spawn_sender(
     plans: Vec<Plan>,
-    share: Vec<Arrival>,
+    arrivals: Vec<Arrival>,
     options: caller::Options,
 ) -> thread::JoinHandle<Vec<Record>> {
     thread::spawn(move || {
         let plans: Rc<[Plan]> = plans.into();
-        actix_rt::System::new().block_on(caller::send(plans, share, options))
+        actix_rt::System::new().block_on(caller::send(plans, arrivals, options))
     })
 }
 
-/// The first few queries that broke a promise, in words.
-fn samples(plans: &[Plan], records: &[Record], findings: &[Finding]) -> Vec<String> {
-    let broken = |(record, finding): &(&Record, &Finding)| {
+/// Describes the first few queries that were wrong, repeated although non-idempotent, or lost.
+fn describe_samples(plans: &[Plan], records: &[Record], findings: &[Finding]) -> Vec<String> {
+    let is_faulty = |(record, finding): &(&Record, &Finding)| {
         finding.doubled
             || tally::is_wrong(record, finding)
             || matches!(record.outcome, Outcome::Lost { .. })
     };
-    let mut pairs: Vec<_> = records.iter().zip(findings).filter(broken).collect();
-    pairs.sort_by_key(|(record, _)| record.at);
-    let described = pairs.into_iter().take(SAMPLES).map(|(record, finding)| {
+    let mut pairs: Vec<_> = records.iter().zip(findings).filter(is_faulty).collect();
+    pairs.sort_by_key(|(record, _)| record.start_offset);
+    let described = pairs.into_iter().take(MAX_SAMPLES).map(|(record, finding)| {
         let name = &plans[record.class].class.name;
-        let at = record.at.as_secs_f64();
-        format!("{at:.3} s {name} {} {finding:?} {:?}", record.key, record.outcome)
+        let offset_s = record.start_offset.as_secs_f64();
+        format!("{offset_s:.3} s {name} {} {finding:?} {:?}", record.key, record.outcome)
     });
     described.collect()
 }
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,6 +1,6 @@
-//! When each query is sent and which shards it asks, drawn from a seed before the run.
+//! Time and shards of each query, generated from a seed before the run.
 //!
-//! Nothing that happens in the run changes the schedule: a slow answer delays no later query.
+//! The schedule does not depend on events of the run: a slow answer delays no later query.
 
 use std::time::Duration;
 
@@ -9,34 +9,36 @@
 
 use crate::plan::Plan;
 
-/// One query to be sent.
+/// One scheduled query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, after the start.
-    pub at: Duration,
-    /// Position of its class in the plans.
+    /// Scheduled send time, counted from the start of the schedule.
+    pub start_offset: Duration,
+    /// Position of the query's class in the list of plans.
     pub class: usize,
-    /// Positions of its shards in the class's plan, ascending.
+    /// Positions of the query's shards in the plan of its class, ascending.
     pub shards: Vec<usize>,
-    /// Position in the schedule.
+    /// Position of the query in the schedule.
     pub sequence: u64,
 }
 
-/// Poisson arrivals of all classes at `load`, in order of time, for `length`.
-pub fn draw(plans: &[Plan], load: f64, length: Duration, seed: u64) -> Vec<Arrival> {
+/// Generates Poisson arrivals of all query classes at `load` for a schedule of `length`, sorted by
+/// time.
+pub fn draw_arrivals(plans: &[Plan], load: f64, length: Duration, seed: u64) -> Vec<Arrival> {
     let mut arrivals = Vec::new();
     for (class, plan) in plans.iter().enumerate() {
-        draw_class(&mut arrivals, plan, class, load, length, seed);
+        draw_class_arrivals(&mut arrivals, plan, class, load, length, seed);
     }
-    arrivals.sort_by_key(|arrival| (arrival.at, arrival.class));
+    arrivals.sort_by_key(|arrival| (arrival.start_offset, arrival.class));
     for (sequence, arrival) in arrivals.iter_mut().enumerate() {
         arrival.sequence = sequence as u64;
     }
     arrivals
 }
 
-/// Each class has its own stream of random numbers: a change of one leaves the others as they are.
-fn draw_class(
+/// Generates the arrivals of one query class. Each class has its own random number stream, so a
+/// change of one class leaves the arrivals of the others unchanged.
+fn draw_class_arrivals(
     arrivals: &mut Vec<Arrival>,
     plan: &Plan,
     class: usize,
@@ -48,26 +50,26 @@
     if rate <= 0.0 {
         return;
     }
-    let stream = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (class as u64 + 1);
-    let mut rng = Xoshiro256PlusPlus::seed_from_u64(stream);
-    let mut at = 0.0;
+    let class_seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ (class as u64 + 1);
+    let mut rng = Xoshiro256PlusPlus::seed_from_u64(class_seed);
+    let mut elapsed_s = 0.0;
     loop {
         let uniform: f64 = rng.random();
-        at -= (1.0 - uniform).ln() / rate;
-        if at >= length.as_secs_f64() {
+        elapsed_s -= (1.0 - uniform).ln() / rate;
+        if elapsed_s >= length.as_secs_f64() {
             return;
         }
         arrivals.push(Arrival {
-            at: Duration::from_secs_f64(at),
+            start_offset: Duration::from_secs_f64(elapsed_s),
             class,
-            shards: pick(&mut rng, plan),
+            shards: sample_shards(&mut rng, plan),
             sequence: 0,
         });
     }
 }
 
-fn pick(rng: &mut Xoshiro256PlusPlus, plan: &Plan) -> Vec<usize> {
-    let mut shards = rand::seq::index::sample(rng, plan.shards.len(), plan.fan).into_vec();
+fn sample_shards(rng: &mut Xoshiro256PlusPlus, plan: &Plan) -> Vec<usize> {
+    let mut shards = rand::seq::index::sample(rng, plan.shards.len(), plan.fan_out).into_vec();
     shards.sort_unstable();
     shards
 }
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -1,22 +1,22 @@
-//! Tables as text and as HTML.
+//! Formats tables as text and as HTML.
 
 use std::fmt::Write;
 
-/// A table of strings.
+/// Table of text cells.
 ///
-/// Invariant: each row has as many cells as the head.
+/// Invariant: each row has as many cells as the header.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    /// What it shows.
+    /// Title of the table.
     pub title: String,
     /// Names of the columns.
     pub head: Vec<String>,
-    /// The rows.
+    /// Rows of the table, without the header.
     pub rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates a table without rows.
     pub fn new(title: &str, head: &[&str]) -> Self {
         Self {
             title: title.to_owned(),
@@ -25,14 +25,16 @@
         }
     }
 
-    /// The table with columns aligned by blanks: the first three to the left, figures to the right.
+    /// Returns the table as text with columns padded by spaces: the first three columns are
+    /// left-aligned, the others, which hold figures, right-aligned.
     pub fn to_text(&self) -> String {
-        let widths: Vec<usize> = (0..self.head.len()).map(|at| self.width(at)).collect();
+        let widths: Vec<usize> =
+            (0..self.head.len()).map(|column| self.column_width(column)).collect();
         let mut text = format!("{}\n", self.title);
         for row in std::iter::once(&self.head).chain(&self.rows) {
             let cells = row.iter().zip(&widths).enumerate();
-            let cells = cells.map(|(at, (cell, width))| match at {
-                0..LEFT => format!("{cell:<width$}"),
+            let cells = cells.map(|(column, (cell, width))| match column {
+                0..NAME_COLUMNS => format!("{cell:<width$}"),
                 _ => format!("{cell:>width$}"),
             });
             let line = cells.collect::<Vec<_>>().join("  ");
@@ -42,12 +44,12 @@
         text
     }
 
-    fn width(&self, at: usize) -> usize {
+    fn column_width(&self, column: usize) -> usize {
         let rows = std::iter::once(&self.head).chain(&self.rows);
-        rows.map(|row| row[at].chars().count()).max().unwrap_or(0)
+        rows.map(|row| row[column].chars().count()).max().unwrap_or(0)
     }
 
-    /// The table as an HTML fragment.
+    /// Returns the table as an HTML fragment.
     pub fn to_html(&self) -> String {
         let mut html = format!("<h2>{}</h2>\n<table>\n", escape(&self.title));
         push_row(&mut html, "th", &self.head);
@@ -59,19 +61,19 @@
     }
 }
 
-/// Columns of names.
-const LEFT: usize = 3;
+/// Number of leading columns that hold names and are left-aligned.
+const NAME_COLUMNS: usize = 3;
 
 fn push_row(html: &mut String, tag: &str, cells: &[String]) {
     html.push_str("<tr>");
     for cell in cells {
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(html, "<{tag}>{}</{tag}>", escape(cell));
     }
     html.push_str("</tr>\n");
 }
 
-/// Text with the characters that HTML gives a meaning replaced.
+/// Escapes the characters that have a meaning in HTML.
 pub fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/load/src/upkeep.rs
+++ b/crates/load/src/upkeep.rs
@@ -1,5 +1,6 @@
-//! What a fleet costs while it is kept running: processor time, memory, messages and platform
-//! calls of each instance, how fast a change spreads, and how long a dead owner's services wait.
+//! Measures the control cost of a fleet: processor time, memory, control traffic and platform calls
+//! of the instances, how fast a change reaches all instances, and how long the services of a killed
+//! owner are interrupted.
 
 mod process;
 mod spread;
@@ -18,16 +19,16 @@
 pub use spread::Spread;
 pub use takeover::Takeover;
 
-/// What to watch and for how long.
+/// Settings of the measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// `run.json` of the layout.
+    /// Path of the `run.json` of the layout.
     pub run: PathBuf,
-    /// Processes of the instances, in the layout's order.
+    /// Process ids of the instances, in the order of the layout.
     pub processes: Vec<u32>,
     /// Length of each of the two measured parts, in seconds.
     pub seconds: f64,
-    /// Changes a second in the second part.
+    /// Changes per second of catalogue entries in the second measured part.
     pub changes: f64,
 }
 
@@ -35,41 +36,41 @@
 #[derive(Clone, Debug)]
 #[derive(Serialize, Deserialize)]
 pub struct Report {
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// Published records at the start.
+    /// Number of published records at the start.
     pub records: usize,
-    /// Without callers and changes.
+    /// Resource use without callers and without changes.
     pub idle: Rates,
-    /// Changes a second in the next part.
+    /// Changes per second of catalogue entries while `changing` is measured.
     pub changes_per_second: f64,
-    /// Without callers, with changes of catalogue entries.
+    /// Resource use without callers, with changes of catalogue entries.
     pub changing: Rates,
-    /// How long single changes take to be in force everywhere.
+    /// Time until a single change is applied by all instances.
     pub spread: Spread,
-    /// What callers meet right after an owner is killed.
+    /// Effect on callers when an owner is killed.
     pub takeover: Takeover,
 }
 
-/// Measures a running fleet; kills its last instance at the end.
+/// Measures a running fleet; kills the fleet's last instance at the end.
 ///
 /// # Errors
 ///
 /// [`Error`] when the layout cannot be read or a process does not answer.
 pub fn execute(options: &Options) -> Result<Report, Error> {
     let layout = Layout::read(&options.run)?;
-    let length = Duration::from_secs_f64(options.seconds);
+    let part_length = Duration::from_secs_f64(options.seconds);
     let fleet: Vec<Process> = layout
         .instances
         .iter()
         .zip(&options.processes)
-        .map(|(instance, id)| Process::new(*id, &instance.admin))
+        .map(|(instance, process_id)| Process::new(*process_id, &instance.admin))
         .collect();
     actix_rt::System::new().block_on(async {
         let records = spread::published(&layout.platform).await?;
-        let idle = process::rates(&fleet, tokio::time::sleep(length)).await?;
+        let idle = process::rates(&fleet, tokio::time::sleep(part_length)).await?;
         let changer = spread::Changer::new(&layout.platform, entries(&records))?;
-        let changing = changer.keep_changing(length, options.changes);
+        let changing = changer.keep_changing(part_length, options.changes);
         let changing = process::rates(&fleet, changing).await?;
         let spread = changer.measure(&layout).await?;
         let takeover = takeover::measure(&layout, &options.processes).await?;
@@ -85,7 +86,7 @@
     })
 }
 
-/// The catalogue entries of a page.
+/// Returns the records of a page that are catalogue entries.
 fn entries(page: &Page) -> Vec<Record> {
     let is_entry = |record: &&Record| {
         matches!(record.body, Some(ladder_schema::publication::record::Body::Entry(_)))
--- a/crates/load/src/upkeep/process.rs
+++ b/crates/load/src/upkeep/process.rs
@@ -1,4 +1,4 @@
-//! Processor time, memory, messages and platform calls of instances.
+//! Measures processor time, memory, control traffic and platform calls of the instances.
 
 use std::fs;
 use std::future::Future;
@@ -9,17 +9,17 @@
 use crate::admin::Admin;
 use crate::error::Error;
 
-/// Clock ticks a second in `/proc`; Linux has shown this value to programs on all machines.
-const TICKS: f64 = 100.0;
+/// Clock ticks per second of the times in `/proc`; Linux reports them in this unit on all machines.
+const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A running instance.
+/// Process of a running instance.
 #[derive(Clone, Debug)]
 pub(super) struct Process {
-    id: u32,
+    process_id: u32,
     admin: String,
 }
 
-/// Counters of one instance at one moment.
+/// Counters of one instance at one point in time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     cpu_seconds: f64,
@@ -29,60 +29,61 @@
     platform_calls: f64,
 }
 
-/// The median and the largest value over the instances.
+/// Median and largest value over the instances.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Range {
-    /// Median.
+    /// Median over the instances.
     pub median: f64,
-    /// Largest.
+    /// Largest value over the instances.
     pub most: f64,
 }
 
-/// What an instance spends.
+/// Resource use of the instances.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Rates {
-    /// Share of one core in percent.
+    /// Processor time as a share of one core, in percent.
     pub cpu_percent: Range,
-    /// Resident memory in megabytes.
+    /// Resident memory in mebibytes.
     pub memory_mb: Range,
-    /// Control bytes sent a second.
+    /// Control bytes sent per second.
     pub bytes: Range,
-    /// Control frames sent a second.
+    /// Control frames sent per second.
     pub frames: Range,
-    /// Platform calls a second of the whole fleet.
+    /// Platform calls per second, added up over the fleet.
     pub platform_calls: f64,
 }
 
 impl Process {
-    pub(super) fn new(id: u32, admin: &str) -> Self {
-        Self { id, admin: admin.to_owned() }
+    pub(super) fn new(process_id: u32, admin: &str) -> Self {
+        Self { process_id, admin: admin.to_owned() }
     }
 
     async fn sample(&self, client: &Admin) -> Result<Sample, Error> {
         let metrics = client.text(&self.admin, "/metrics").await?;
-        let control = |name: &str| metric(&metrics, name, "part=\"control\"");
+        let control = |name: &str| metric_sum(&metrics, name, "part=\"control\"");
         Ok(Sample {
             cpu_seconds: self.cpu_seconds()?,
             memory_kb: self.memory_kb()?,
             control_bytes: control("ladder_peer_bytes_total"),
             control_frames: control("ladder_peer_frames_total"),
-            platform_calls: metric(&metrics, "ladder_platform_calls_total", ""),
+            platform_calls: metric_sum(&metrics, "ladder_platform_calls_total", ""),
         })
     }
 
-    /// User and system time so far.
+    /// Returns the user and system time that the process has used so far, in seconds.
     fn cpu_seconds(&self) -> Result<f64, Error> {
         let text = self.read("stat")?;
-        // The name in parentheses may hold blanks; the fields are counted from behind it.
+        // The process name in parentheses may contain spaces, so the fields are counted from the
+        // closing parenthesis.
         let fields = text.rsplit(") ").next().unwrap_or_default();
         let mut fields = fields.split(' ').skip(11).map(str::parse::<f64>);
         let mut ticks = || fields.next().and_then(Result::ok).unwrap_or(0.0);
-        Ok((ticks() + ticks()) / TICKS)
+        Ok((ticks() + ticks()) / TICKS_PER_SECOND)
     }
 
-    /// Resident memory.
+    /// Returns the resident memory of the process, in kibibytes.
     fn memory_kb(&self) -> Result<f64, Error> {
         let text = self.read("status")?;
         let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -91,28 +92,28 @@
     }
 
     fn read(&self, file: &str) -> Result<String, Error> {
-        let path = format!("/proc/{}/{file}", self.id);
+        let path = format!("/proc/{}/{file}", self.process_id);
         fs::read_to_string(&path).map_err(|error| Error::Read(path.into(), error.to_string()))
     }
 }
 
-/// Sum of a metric's lines that have `label`.
-fn metric(text: &str, name: &str, label: &str) -> f64 {
+/// Returns the sum of the metric's values over all lines that contain `label`.
+fn metric_sum(text: &str, name: &str, label: &str) -> f64 {
     text.lines()
         .filter(|line| line.starts_with(name) && line.contains(label))
         .filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok())
         .sum()
 }
 
-/// What the instances spend while `during` runs.
+/// Returns the resource use of the instances while `workload` runs.
 pub(super) async fn rates(
     fleet: &[Process],
-    during: impl Future<Output = ()>,
+    workload: impl Future<Output = ()>,
 ) -> Result<Rates, Error> {
     let client = Admin::default();
     let before = samples(fleet, &client).await?;
     let start = Instant::now();
-    during.await;
+    workload.await;
     let seconds = start.elapsed().as_secs_f64();
     let after = samples(fleet, &client).await?;
     let pairs: Vec<_> = before.into_iter().zip(after).collect();
@@ -137,7 +138,7 @@
     Ok(samples)
 }
 
-/// Median and largest of some values.
+/// Returns the median and the largest of some values.
 pub(super) fn range(mut values: Vec<f64>) -> Range {
     values.sort_by(f64::total_cmp);
     Range {
--- a/crates/load/src/upkeep/spread.rs
+++ b/crates/load/src/upkeep/spread.rs
@@ -1,4 +1,4 @@
-//! How fast a change of the catalogue is in force at every instance.
+//! Measures how fast a change of the catalogue is applied by all instances.
 
 use std::time::{Duration, Instant};
 
@@ -11,26 +11,26 @@
 use crate::error::Error;
 use crate::layout::Layout;
 
-/// Single changes that are followed to every instance.
-const CHANGES: usize = 20;
-/// Between two followed changes.
-const PAUSE: Duration = Duration::from_millis(300);
-/// Between two looks at an instance.
-const LOOK: Duration = Duration::from_millis(5);
-/// Longest wait for a change to be in force.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Number of changes whose propagation to all instances is measured.
+const MEASURED_CHANGES: usize = 20;
+/// Delay before each measured change.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(300);
+/// Delay between two reads of an instance's revision.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest wait until an instance has applied a change.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time until a change is in force everywhere, counted from the moment before it is published.
+/// Time until a change is applied by all instances, counted from just before its publication.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Spread {
-    /// Changes followed.
+    /// Number of measured changes.
     pub changes: usize,
-    /// Milliseconds until the last instance has it.
+    /// Milliseconds until the last instance has applied the change.
     pub milliseconds: Range,
 }
 
-/// All records the platform holds.
+/// Reads all records that the platform has published.
 pub(super) async fn published(platform: &str) -> Result<Page, Error> {
     let client = Admin::default();
     client.get(platform, "/v1/records?after=0&wait_ms=0").await
@@ -40,7 +40,8 @@
 pub(super) struct Changer {
     client: Admin,
     platform: String,
-    /// Invariant: not empty, each an entry.
+    /// Catalogue entries that are changed in turn. Invariant: not empty, and each record is a
+    /// catalogue entry.
     entries: Vec<Record>,
 }
 
@@ -52,34 +53,35 @@
         Ok(Self { client: Admin::default(), platform: platform.to_owned(), entries })
     }
 
-    /// Publishes `rate` changes a second for `length`; one that fails is left out.
+    /// Publishes `rate` changes per second for `length`; a change whose publication fails is
+    /// skipped.
     pub(super) async fn keep_changing(&self, length: Duration, rate: f64) {
         let end = Instant::now() + length;
         let mut number = 0;
         while Instant::now() < end {
-            let _ = self.change(number).await;
+            let _ = self.publish_change(number).await;
             number += 1;
             tokio::time::sleep(Duration::from_secs_f64(1.0 / rate)).await;
         }
     }
 
-    /// Follows single changes until they are in force everywhere.
+    /// Publishes single changes and measures the time until all instances have applied each.
     pub(super) async fn measure(&self, layout: &Layout) -> Result<Spread, Error> {
-        let mut times = Vec::with_capacity(CHANGES);
-        for number in 0..CHANGES {
-            tokio::time::sleep(PAUSE).await;
+        let mut times = Vec::with_capacity(MEASURED_CHANGES);
+        for number in 0..MEASURED_CHANGES {
+            tokio::time::sleep(CHANGE_INTERVAL).await;
             let start = Instant::now();
-            let head = self.change(number).await?;
+            let revision = self.publish_change(number).await?;
             for instance in &layout.instances {
-                self.wait(&instance.admin, head, start + PATIENCE).await?;
+                self.wait_for_revision(&instance.admin, revision, start + CHANGE_TIMEOUT).await?;
             }
             times.push(start.elapsed().as_secs_f64() * 1000.0);
         }
         Ok(Spread { changes: times.len(), milliseconds: range(times) })
     }
 
-    /// Publishes the next change of an entry's queue limit; gives its revision.
-    async fn change(&self, number: usize) -> Result<u64, Error> {
+    /// Publishes a change of one entry's queue limit; returns the platform's newest revision.
+    async fn publish_change(&self, number: usize) -> Result<u64, Error> {
         let mut record = self.entries[number % self.entries.len()].clone();
         record.revision = 0;
         if let Some(Body::Entry(entry)) = &mut record.body
@@ -95,17 +97,22 @@
         Ok(page.head)
     }
 
-    /// Waits until an instance has the revision in force.
-    async fn wait(&self, admin: &str, revision: u64, end: Instant) -> Result<(), Error> {
+    /// Waits until an instance has applied the revision.
+    async fn wait_for_revision(
+        &self,
+        admin: &str,
+        revision: u64,
+        deadline: Instant,
+    ) -> Result<(), Error> {
         loop {
             let text = self.client.text(admin, "/revision").await?;
-            if text.trim().parse::<u64>().is_ok_and(|found| found >= revision) {
+            if text.trim().parse::<u64>().is_ok_and(|applied| applied >= revision) {
                 return Ok(());
             }
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(Error::Admin(admin.to_owned(), format!("still at {text}")));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/load/src/upkeep/takeover.rs
+++ b/crates/load/src/upkeep/takeover.rs
@@ -1,4 +1,4 @@
-//! What callers meet right after the owner of services is killed.
+//! Measures the effect on callers when the owner of services is killed.
 
 use std::time::{Duration, Instant};
 
@@ -11,54 +11,57 @@
 use crate::error::Error;
 use crate::layout::Layout;
 
-/// How long queries are sent after the kill.
-const LENGTH: Duration = Duration::from_secs(6);
-/// Between two queries.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Time after the kill during which queries are sent.
+const QUERY_PERIOD: Duration = Duration::from_secs(6);
+/// Delay between two queries, and between two reads of the observer's status.
+const QUERY_INTERVAL: Duration = Duration::from_millis(10);
 /// Deadline of a query, in milliseconds.
 const DEADLINE_MS: u32 = 5000;
-/// Longest wait for the other instances to name a new owner.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest wait until the observing instance reports new owners.
+const OWNER_CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a dead owner's services wait.
+/// Interruption of services whose owner was killed.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize, Deserialize)]
 pub struct Takeover {
-    /// Services that the killed instance owned.
+    /// Number of services that the killed instance owned.
     pub services: usize,
-    /// Queries to them, sent at other instances after the kill.
+    /// Number of queries to these services, sent through other instances after the kill.
     pub queries: usize,
-    /// Queries without a complete answer.
+    /// Number of queries without a complete answer.
     pub incomplete: usize,
-    /// Longest latency in milliseconds: no service was unused for longer.
+    /// Longest latency of a query in milliseconds; an upper bound of the time for which a service
+    /// was not available.
     pub longest_ms: f64,
-    /// Milliseconds until a survivor's view names other owners for all.
+    /// Time until one of the other instances reports other owners for all these services, in
+    /// milliseconds.
     pub new_owner_ms: f64,
 }
 
-/// Kills the last instance and asks the others for what it owned.
+/// Kills the last instance and sends queries for its services through the other instances.
 pub(super) async fn measure(layout: &Layout, processes: &[u32]) -> Result<Takeover, Error> {
-    let (Some(victim), Some(id)) = (layout.instances.last(), processes.last()) else {
+    let (Some(killed_instance), Some(id)) = (layout.instances.last(), processes.last()) else {
         return Err(Error::Unknown("instance".to_owned()));
     };
     let client = Admin::default();
-    let witness = &layout.instances[0];
-    let owned = owned(&client, &witness.admin, &victim.name).await?;
+    let observer = &layout.instances[0];
+    let owned = services_owned_by(&client, &observer.admin, &killed_instance.name).await?;
     let id = i32::try_from(*id).ok().and_then(Pid::from_raw);
     let killed = id.map(|id| kill_process(id, Signal::KILL));
     if !matches!(killed, Some(Ok(()))) {
-        return Err(Error::Unknown(format!("process of {}", victim.name)));
+        return Err(Error::Unknown(format!("process of {}", killed_instance.name)));
     }
     let start = Instant::now();
-    let watch = renamed(client, witness.admin.clone(), victim.name.clone(), start);
-    let watch = actix_rt::spawn(watch);
+    let owner_change =
+        wait_for_owner_change(client, observer.admin.clone(), killed_instance.name.clone(), start);
+    let owner_change = actix_rt::spawn(owner_change);
     let mut queries = Vec::new();
     let shards = shards(layout, &owned);
     for (number, (index, operation, shard)) in shards.iter().cycle().enumerate() {
-        if start.elapsed() > LENGTH || shards.is_empty() {
+        if start.elapsed() > QUERY_PERIOD || shards.is_empty() {
             break;
         }
-        let alive = &layout.instances[number % (layout.instances.len() - 1)];
+        let instance = &layout.instances[number % (layout.instances.len() - 1)];
         let request = call::Request {
             key: format!("takeover-{number}"),
             index: index.clone(),
@@ -67,10 +70,10 @@
             deadline_ms: DEADLINE_MS,
             ..call::Request::default()
         };
-        queries.push(actix_rt::spawn(query(alive.address.clone(), request)));
-        tokio::time::sleep(PAUSE).await;
+        queries.push(actix_rt::spawn(send_query(instance.address.clone(), request)));
+        tokio::time::sleep(QUERY_INTERVAL).await;
     }
-    let new_owner_ms = watch.await.map_err(|_| Error::Thread)??;
+    let new_owner_ms = owner_change.await.map_err(|_| Error::Thread)??;
     let mut takeover = Takeover { services: owned.len(), new_owner_ms, ..Takeover::default() };
     for query in queries {
         let (complete, latency) = query.await.map_err(|_| Error::Thread)?;
@@ -81,25 +84,32 @@
     Ok(takeover)
 }
 
-/// Services that `owner` owns in the view of the instance at `admin`.
-async fn owned(client: &Admin, admin: &str, owner: &str) -> Result<Vec<String>, Error> {
+/// Returns the services that `owner` owns according to the instance with the operator address
+/// `admin`.
+async fn services_owned_by(client: &Admin, admin: &str, owner: &str) -> Result<Vec<String>, Error> {
     let status: status::Instance = client.get(admin, "/status").await?;
     let owned = status.services.into_iter().filter(|service| service.owner == owner);
     Ok(owned.map(|service| service.name).collect())
 }
 
-/// Milliseconds from `start` until the instance at `admin` names nobody's owner `gone`.
-async fn renamed(client: Admin, admin: String, gone: String, start: Instant) -> Result<f64, Error> {
-    while !owned(&client, &admin, &gone).await?.is_empty() {
-        if start.elapsed() > PATIENCE {
-            return Err(Error::Admin(admin, format!("still names {gone}")));
+/// Returns the milliseconds from `start` until the instance at `admin` reports `old_owner` as the
+/// owner of no service.
+async fn wait_for_owner_change(
+    client: Admin,
+    admin: String,
+    old_owner: String,
+    start: Instant,
+) -> Result<f64, Error> {
+    while !services_owned_by(&client, &admin, &old_owner).await?.is_empty() {
+        if start.elapsed() > OWNER_CHANGE_TIMEOUT {
+            return Err(Error::Admin(admin, format!("still names {old_owner}")));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(QUERY_INTERVAL).await;
     }
     Ok(start.elapsed().as_secs_f64() * 1000.0)
 }
 
-/// Index, a repeatable operation and shard of each service.
+/// Returns an index, an idempotent operation and a shard for each shard of the services.
 fn shards(layout: &Layout, services: &[String]) -> Vec<(String, String, String)> {
     let mut shards = Vec::new();
     for index in layout.indexes() {
@@ -116,12 +126,12 @@
     shards
 }
 
-/// Sends one query; whether its answer is complete, and how long it took.
-async fn query(address: String, request: call::Request) -> (bool, Duration) {
+/// Sends one query; returns whether its answer is complete, and its latency.
+async fn send_query(address: String, request: call::Request) -> (bool, Duration) {
     let start = Instant::now();
     let url = format!("http://{address}/query");
-    let limit = Duration::from_millis(u64::from(DEADLINE_MS) + 1000);
-    let response = Client::new().post(url).timeout(limit).send_json(&request).await;
+    let timeout = Duration::from_millis(u64::from(DEADLINE_MS) + 1000);
+    let response = Client::new().post(url).timeout(timeout).send_json(&request).await;
     let complete = match response {
         Ok(mut response) => {
             let answer = response.json::<call::Answer>().await;
--- a/crates/load/tests/check.rs
+++ b/crates/load/tests/check.rs
@@ -1,4 +1,4 @@
-//! The checks of one answer, and of answers against the ledgers.
+//! Tests of the checks of single answers, and of the audit of answers against the target ledgers.
 
 #[path = "fixture/layout.rs"]
 mod fixture;
@@ -7,13 +7,14 @@
 
 use ladder_load::audit::{self, Finding};
 use ladder_load::caller::{Outcome, Record};
-use ladder_load::check::{self, Asked, Mistake};
-use ladder_load::mix::Fan;
+use ladder_load::check::{self, Mistake, SentQuery};
+use ladder_load::mix::FanOut;
 use ladder_schema::call::{Answer, Missing, Part};
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_schema::standin::{Execution, Ledger};
 
-const ASKED: Asked<'_> = Asked { key: "k1", index: "docks", shards: &["s1", "s2"], payload: "p" };
+const SENT_QUERY: SentQuery<'_> =
+    SentQuery { key: "k1", index: "docks", shards: &["s1", "s2"], payload: "p" };
 
 fn part(shard: &str, body: &str) -> Part {
     Part { shard: shard.to_owned(), body: body.to_owned(), response: None }
@@ -54,16 +55,17 @@
     }
 }
 
-fn with(mut answer: Answer, change: impl FnOnce(&mut Answer)) -> Answer {
+fn modified(mut answer: Answer, change: impl FnOnce(&mut Answer)) -> Answer {
     change(&mut answer);
     answer
 }
 
-/// Name, status and answer of a case, and the mistakes that must be found.
+/// Name of the case, HTTP status, answer, and the mistakes that must be found.
 struct Case(&'static str, u16, Answer, &'static [Mistake]);
 
 fn body_cases() -> Vec<Case> {
-    let body = |text: &'static str| with(complete(), |answer| answer.parts[1].body = text.into());
+    let body =
+        |text: &'static str| modified(complete(), |answer| answer.parts[1].body = text.into());
     let key = Answer { key: "k2".into(), ..complete() };
     let index = Answer { index: "claims".into(), ..complete() };
     vec![
@@ -80,10 +82,12 @@
 
 fn coverage_cases() -> Vec<Case> {
     let unlisted = Answer { missing: Vec::new(), ..partial(Verdict::MayHaveRun) };
-    let uncovered = with(complete(), |answer| drop(answer.parts.pop()));
-    let twice = with(complete(), |answer| answer.parts.push(part("s2", "docks@1/s2/k1/p")));
-    let both = Answer { missing: vec![missing("s2", Verdict::NotRun)], ..complete() };
-    let no_reason = with(partial(Verdict::NotRun), |answer| answer.missing[0].reason = 0);
+    let uncovered = modified(complete(), |answer| drop(answer.parts.pop()));
+    let duplicate_part =
+        modified(complete(), |answer| answer.parts.push(part("s2", "docks@1/s2/k1/p")));
+    let covered_and_missing =
+        Answer { missing: vec![missing("s2", Verdict::NotRun)], ..complete() };
+    let no_reason = modified(partial(Verdict::NotRun), |answer| answer.missing[0].reason = 0);
     let not_run = Answer { verdict: Verdict::NotRun.into(), ..complete() };
     vec![
         Case("partial", 206, partial(Verdict::MayHaveRun), &[]),
@@ -91,8 +95,13 @@
         Case("complete as partial", 206, complete(), &[Mistake::Status]),
         Case("missing shard unlisted", 200, unlisted, &[Mistake::Unlisted]),
         Case("covered without a part", 200, uncovered, &[Mistake::Covered]),
-        Case("two parts of one shard", 200, twice, &[Mistake::ForeignShard, Mistake::Covered]),
-        Case("covered and missing", 206, both, &[Mistake::Unlisted]),
+        Case(
+            "two parts of one shard",
+            200,
+            duplicate_part,
+            &[Mistake::ForeignShard, Mistake::Covered],
+        ),
+        Case("covered and missing", 206, covered_and_missing, &[Mistake::Unlisted]),
         Case("missing without a reason", 206, no_reason, &[Mistake::Verdict]),
         Case("answered but not run", 200, not_run, &[Mistake::Verdict]),
     ]
@@ -107,14 +116,14 @@
 }
 
 #[test]
-fn mistakes_in_one_answer_are_found() {
+fn check_finds_each_mistake_in_an_answer() {
     let cases = [body_cases(), coverage_cases(), refusal_cases()];
     for Case(name, status, answer, mistakes) in cases.into_iter().flatten() {
-        assert_eq!(check::check(&ASKED, status, &answer), mistakes, "{name}");
+        assert_eq!(check::find_mistakes(&SENT_QUERY, status, &answer), mistakes, "{name}");
     }
 }
 
-/// Server, key, shard and count of each execution; one ledger each.
+/// Executions as server, request key, shard and count; each becomes a ledger of its own.
 type Executions = &'static [(&'static str, &'static str, &'static str, u32)];
 
 fn ledger(&(server, key, shard, count): &(&str, &str, &str, u32)) -> Ledger {
@@ -128,9 +137,9 @@
     Ledger { executions: vec![execution], ..Ledger::default() }
 }
 
-/// Name of a case, position of its class in the plans, status and answer, what ran, and what must
-/// be found.
-struct Audit(&'static str, usize, u16, Answer, Executions, Finding);
+/// Name of the case, position of the query class in the plans, HTTP status, answer, executions in
+/// the ledgers, and the finding that the audit must return.
+struct AuditCase(&'static str, usize, u16, Answer, Executions, Finding);
 
 fn finding(calls: u64, needed: u64, doubled: bool, ran_after_all: bool) -> Finding {
     Finding { calls, needed, doubled, ran_after_all }
@@ -138,13 +147,13 @@
 
 const SWEEP: usize = 0;
 const BOOK: usize = 1;
-const TWICE_AT_TWO: Executions =
+const TWICE_AT_TWO_SERVERS: Executions =
     &[("a", "k1", "s1", 1), ("b", "k1", "s1", 1), ("c", "k1", "s2", 1)];
-const TWICE_AT_ONE: Executions = &[("a", "k1", "s1", 2), ("c", "k1", "s2", 1)];
-const ONCE: Executions = &[("a", "k1", "s1", 1), ("a", "k1", "s2", 1)];
-const FOREIGN: Executions = &[("c", "k2", "s2", 9)];
+const TWICE_AT_ONE_SERVER: Executions = &[("a", "k1", "s1", 2), ("c", "k1", "s2", 1)];
+const EACH_SHARD_ONCE: Executions = &[("a", "k1", "s1", 1), ("a", "k1", "s2", 1)];
+const OTHER_REQUEST: Executions = &[("c", "k2", "s2", 9)];
 
-fn audits() -> Vec<Audit> {
+fn audit_cases() -> Vec<AuditCase> {
     let hedged = finding(3, 2, false, false);
     let doubled = finding(3, 2, true, false);
     let once = finding(2, 2, false, false);
@@ -156,31 +165,31 @@
     let missing = partial(Verdict::NotRun);
     let may_have_run = partial(Verdict::MayHaveRun);
     vec![
-        Audit("hedged", SWEEP, 200, complete(), TWICE_AT_TWO, hedged),
-        Audit("at two servers", BOOK, 200, complete(), TWICE_AT_TWO, doubled),
-        Audit("at one server", BOOK, 200, complete(), TWICE_AT_ONE, doubled),
-        Audit("two shards", BOOK, 200, complete(), ONCE, once),
-        Audit("another request's", BOOK, 200, complete(), FOREIGN, none),
-        Audit("refused", SWEEP, 503, refused(), &[], nothing),
-        Audit("not run, but ran", SWEEP, 503, refused(), ONCE, untrue),
-        Audit("missing as not run, but ran", SWEEP, 206, missing, ONCE, partly),
-        Audit("missing, may have run", SWEEP, 206, may_have_run, ONCE, once),
+        AuditCase("hedged", SWEEP, 200, complete(), TWICE_AT_TWO_SERVERS, hedged),
+        AuditCase("at two servers", BOOK, 200, complete(), TWICE_AT_TWO_SERVERS, doubled),
+        AuditCase("at one server", BOOK, 200, complete(), TWICE_AT_ONE_SERVER, doubled),
+        AuditCase("two shards", BOOK, 200, complete(), EACH_SHARD_ONCE, once),
+        AuditCase("another request's", BOOK, 200, complete(), OTHER_REQUEST, none),
+        AuditCase("refused", SWEEP, 503, refused(), &[], nothing),
+        AuditCase("not run, but ran", SWEEP, 503, refused(), EACH_SHARD_ONCE, untrue),
+        AuditCase("missing as not run, but ran", SWEEP, 206, missing, EACH_SHARD_ONCE, partly),
+        AuditCase("missing, may have run", SWEEP, 206, may_have_run, EACH_SHARD_ONCE, once),
     ]
 }
 
 #[test]
-fn ledgers_show_what_was_doubled_or_ran_after_all() {
-    let plans = fixture::plans(&[("sweep", Fan::All, 1.0), ("book", Fan::All, 1.0)]);
-    for Audit(name, class, status, answer, executions, finding) in audits() {
+fn audit_finds_repeated_executions_and_false_not_run_verdicts() {
+    let plans = fixture::plans(&[("sweep", FanOut::All, 1.0), ("book", FanOut::All, 1.0)]);
+    for AuditCase(name, class, status, answer, executions, finding) in audit_cases() {
         let answer = Box::new(answer);
         let record = Record {
             class,
             key: "k1".to_owned(),
             shards: vec![0, 1],
-            at: Duration::ZERO,
+            start_offset: Duration::ZERO,
             latency: Duration::from_millis(20),
             attempts: 1,
-            refusals: 0,
+            connection_refusals: 0,
             outcome: Outcome::Answered { status, answer, mistakes: Vec::new() },
         };
         let ledgers: Vec<Ledger> = executions.iter().map(ledger).collect();
--- a/crates/load/tests/compare.rs
+++ b/crates/load/tests/compare.rs
@@ -1,10 +1,10 @@
-//! Comparisons of results.
+//! Tests of the comparison of results and of its report.
 
 use std::collections::BTreeMap;
 
 use ladder_load::compare::{self, Row, Summary};
 use ladder_load::report;
-use ladder_load::result::{Class, Run, SHARES};
+use ladder_load::result::{Class, LATENCY_QUANTILES, Run};
 use ladder_load::table::Table;
 
 fn class(name: &str, headline: bool, p99_ms: f64) -> Class {
@@ -18,7 +18,7 @@
         p50_ms: p99_ms / 4.0,
         p99_ms,
         p999_ms: p99_ms * 2.0,
-        quantiles_ms: SHARES.iter().map(quantile).collect(),
+        quantiles_ms: LATENCY_QUANTILES.iter().map(quantile).collect(),
         complete_share: 980.0 / 990.0,
         coverage: 0.985,
         goodput: 98.0,
@@ -48,7 +48,8 @@
     }
 }
 
-/// Three rounds of two labels, and a round with a fault that loses two queries.
+/// Returns rows with three rounds of two labels, one run at a higher load, and one run with a fault
+/// that loses two queries.
 fn rows() -> Vec<Row> {
     let mut runs = Vec::new();
     for (round, noise) in [0.0, 400.0, 10.0].into_iter().enumerate() {
@@ -60,7 +61,7 @@
     let mut lossy = run("owner", 0.7, "server lost", 150.0);
     lossy.overall.lost = 2;
     runs.push(lossy);
-    compare::group(&runs)
+    compare::group_runs(&runs)
 }
 
 #[test]
@@ -71,20 +72,21 @@
 }
 
 #[test]
-fn the_last_line_compares_medians_and_adds_up_what_was_broken() {
-    let summary = Summary::of(&rows(), "baseline", "owner", 0.75).expect("summary");
-    // Medians 112 and 210; both queries lost under the fault count.
+fn summary_compares_medians_and_sums_faulty_queries() {
+    let summary = Summary::compare(&rows(), "baseline", "owner", 0.75).expect("summary");
+    // The median 99th percentiles are 112 ms and 210 ms; the two queries lost in the run with the
+    // fault count, too.
     assert_eq!(
         summary.to_string(),
         "p99_ratio=0.533 coverage=0.98500 extra_load=1.010 wrong=0 doubled=0 lost=2"
     );
-    assert!(Summary::of(&rows(), "absent", "owner", 0.7).is_err());
+    assert!(Summary::compare(&rows(), "absent", "owner", 0.7).is_err());
 }
 
 #[test]
-fn the_page_holds_its_plots() {
+fn report_page_contains_plots_and_summary() {
     let rows = rows();
-    let summary = Summary::of(&rows, "baseline", "owner", 0.7).expect("summary");
+    let summary = Summary::compare(&rows, "baseline", "owner", 0.7).expect("summary");
     let plots = report::plots(&rows, 0.7).expect("plots");
     assert_eq!(plots.len(), 4);
     assert!(plots.iter().all(|plot| plot.starts_with("<svg") && plot.contains("baseline")));
--- a/crates/load/tests/session.rs
+++ b/crates/load/tests/session.rs
@@ -1,4 +1,4 @@
-//! Whole runs against a small entry that answers by script.
+//! Tests of the caller against HTTP servers with scripted answers.
 
 #[path = "fixture/entry.rs"]
 mod entry;
@@ -8,20 +8,20 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use entry::{Closed, Entry, Script};
+use entry::{Behaviour, ClosedPort, TestInstance};
 use ladder_load::caller::{self, Options, Outcome, Record};
 use ladder_load::check::Mistake;
-use ladder_load::mix::Fan;
+use ladder_load::mix::FanOut;
 use ladder_load::plan::Plan;
 use ladder_load::rotation::Rotation;
 use ladder_load::schedule::Arrival;
 
 const QUERIES: u64 = 40;
-const GAP: Duration = Duration::from_millis(5);
+const QUERY_INTERVAL: Duration = Duration::from_millis(5);
 
 fn arrivals() -> Vec<Arrival> {
     let arrival = |sequence: u64| Arrival {
-        at: GAP * sequence as u32,
+        start_offset: QUERY_INTERVAL * sequence as u32,
         class: 0,
         shards: vec![0, 1],
         sequence,
@@ -29,24 +29,26 @@
     (0..QUERIES).map(arrival).collect()
 }
 
-/// Sends the schedule to the entries in turn, the first of which accepts no connection.
-fn send(scripts: &[Script], retries: bool) -> Vec<Record> {
+/// Sends the schedule to the test servers in turn; the first address of the rotation refuses
+/// connections.
+fn send(behaviours: &[Behaviour], retries: bool) -> Vec<Record> {
     actix_rt::System::new().block_on(async {
-        let entries: Vec<Entry> = scripts.iter().map(|script| Entry::start(*script)).collect();
-        let closed = Closed::new();
+        let test_instances: Vec<TestInstance> =
+            behaviours.iter().map(|behaviour| TestInstance::start(*behaviour)).collect();
+        let closed = ClosedPort::new();
         let mut instances = vec![closed.address.clone()];
-        instances.extend(entries.iter().map(|entry| entry.address.clone()));
+        instances.extend(test_instances.iter().map(|test_instance| test_instance.address.clone()));
         let options = Options {
             instances,
-            prefix: "t".to_owned(),
+            key_prefix: "t".to_owned(),
             retries,
-            checks: false,
-            start: Instant::now() + GAP,
+            health_checks: false,
+            start: Instant::now() + QUERY_INTERVAL,
         };
-        let plans: Rc<[Plan]> = fixture::plans(&[("sweep", Fan::All, 1.0)]).into();
+        let plans: Rc<[Plan]> = fixture::plans(&[("sweep", FanOut::All, 1.0)]).into();
         let records = caller::send(plans, arrivals(), options).await;
-        for entry in entries {
-            entry.stop().await;
+        for test_instance in test_instances {
+            test_instance.stop().await;
         }
         records
     })
@@ -59,61 +61,64 @@
     }
 }
 
-/// A caller's tool that waits for an answer before it sends the next query hides a stall: the
-/// queries that should have been sent meanwhile are never timed. The entry here holds every query
-/// until the last one of the schedule has arrived, so a tool that waits would never get there.
+/// Guards against a load generator that waits for an answer before it sends the next query: it
+/// hides a stall, because the queries that should have been sent during the stall are never timed.
+/// The test server answers no query until the last one of the schedule has arrived, so a waiting
+/// generator would never finish.
 #[test]
-fn queries_are_sent_on_schedule_while_none_is_answered() {
-    let records = send(&[Script::HoldUntil(QUERIES)], false);
+fn queries_are_sent_on_schedule_without_waiting_for_answers() {
+    let records = send(&[Behaviour::AnswerAfter(QUERIES)], false);
     assert_eq!(records.len() as u64, QUERIES);
-    let last = GAP * (QUERIES as u32 - 1);
+    let last = QUERY_INTERVAL * (QUERIES as u32 - 1);
     for record in &records {
         assert_eq!(mistakes(record), []);
-        // From the scheduled time to an answer after the last query was sent.
-        assert!(record.latency + record.at >= last, "{record:?}");
+        // The latency runs from the scheduled time until an answer that comes after the last query.
+        assert!(record.latency + record.start_offset >= last, "{record:?}");
     }
 }
 
 #[test]
-fn an_instance_that_refuses_connections_is_passed_over() {
-    let records = send(&[Script::Answer], false);
-    // Every second query meets the closed instance first.
-    let refusals: u64 = records.iter().map(|record| u64::from(record.refusals)).sum();
+fn instance_that_refuses_connections_is_skipped() {
+    let records = send(&[Behaviour::Answer], false);
+    // Every second query is assigned to the closed port first.
+    let refusals: u64 = records.iter().map(|record| u64::from(record.connection_refusals)).sum();
     assert_eq!(refusals, QUERIES / 2);
     assert!(records.iter().all(|record| mistakes(record).is_empty()));
 }
 
-/// A fleet that is replaced looks worse than it is: callers are sent to instances that are stopping
-/// and have said so, since the tool does not ask as the platform's balancer does.
+/// Guards against queries to instances that report that they are stopping: without the health
+/// checks of the platform's load balancer, the generator would count failures during a fleet
+/// replacement that real callers don't see.
 #[test]
-fn an_instance_that_is_not_ready_is_left_out() {
+fn instance_that_is_not_ready_receives_no_queries() {
     actix_rt::System::new().block_on(async {
-        let closed = Closed::new();
-        let entry = Entry::start(Script::Answer);
-        let rotation = Rotation::new(&[closed.address.clone(), entry.address.clone()]);
+        let closed = ClosedPort::new();
+        let test_instance = TestInstance::start(Behaviour::Answer);
+        let rotation = Rotation::new(&[closed.address.clone(), test_instance.address.clone()]);
         rotation.check_once(&awc::Client::default()).await;
-        for mut turn in 0..4 {
-            assert_eq!(rotation.next(&mut turn), entry.address);
+        for mut position in 0..4 {
+            assert_eq!(rotation.next(&mut position), test_instance.address);
         }
-        entry.stop().await;
+        test_instance.stop().await;
     });
 }
 
-/// A caller gets another caller's answer: the entry mixed up two requests.
+/// Guards against an undetected mix-up of two requests: the caller receives the answer to another
+/// caller's query.
 #[test]
-fn a_crossed_answer_is_wrong() {
-    let records = send(&[Script::Crossed], false);
-    let crossed = [Mistake::ForeignKey, Mistake::ForeignBody];
-    assert!(records.iter().all(|record| mistakes(record) == crossed));
+fn answer_with_the_key_of_another_query_is_reported_as_wrong() {
+    let records = send(&[Behaviour::WrongKey], false);
+    let expected = [Mistake::ForeignKey, Mistake::ForeignBody];
+    assert!(records.iter().all(|record| mistakes(record) == expected));
 }
 
 #[test]
-fn a_broken_connection_loses_the_query_unless_the_caller_asks_again() {
-    let records = send(&[Script::Break], false);
+fn broken_connection_loses_the_query_unless_the_caller_retries() {
+    let records = send(&[Behaviour::BreakConnection], false);
     let lost = |record: &Record| matches!(record.outcome, Outcome::Lost { .. });
     assert!(records.iter().all(lost));
     assert!(records.iter().all(|record| record.attempts == 1));
-    let records = send(&[Script::Break, Script::Answer], true);
+    let records = send(&[Behaviour::BreakConnection, Behaviour::Answer], true);
     assert!(!records.iter().any(lost));
     assert!(records.iter().any(|record| record.attempts == 2));
 }
