--- a/crates/core/examples/scale/bench.rs
+++ b/crates/core/examples/scale/bench.rs
@@ -1,4 +1,4 @@
-//! One control machine whose peers and platform are played by the bench.
+//! Test bench that drives one control machine and simulates its peers and the platform.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,16 +17,18 @@
 use crate::fleet::{Size, instance_address, instance_name};
 use crate::random::Random;
 
-/// Period of a neighbour's probes and of a peer's digest.
-const PROBE: Duration = Duration::from_millis(250);
-const DIGEST: Duration = Duration::from_secs(1);
-const HOP: Duration = Duration::from_millis(1);
-/// Instances that probe this one, as it probes three.
-const PREDECESSORS: usize = 3;
+/// Interval between two probes from a peer that probes this instance.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between two digests from peers.
+const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Delay of a frame between two instances.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+/// Number of instances that probe this instance; it probes as many itself.
+const PROBING_PEERS: usize = 3;
 
-/// What a machine has spent.
+/// Processor time, frames and bytes that the machine used.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Spent {
+pub(crate) struct Cost {
     pub(crate) time: Duration,
     pub(crate) frames: u64,
     pub(crate) sent: u64,
@@ -34,16 +36,16 @@
     pub(crate) views: u64,
 }
 
-/// A machine with peers that answer its probes and send it theirs.
+/// Control machine with simulated peers, which answer its probes and send it probes and digests.
 pub(crate) struct Bench {
     pub(crate) size: Size,
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
-    pub(crate) spent: Spent,
+    pub(crate) cost: Cost,
     pub(crate) view: Option<Arc<View>>,
-    /// What the peers know, so that their digests agree.
+    /// Records that the peers have; their digests are calculated from this store.
     pub(crate) peers: Store,
-    /// Instances that answer and ask no more.
+    /// Instances that no longer answer probes and send no digests.
     pub(crate) dead: Set<usize>,
     random: Random,
     queue: BTreeMap<(Instant, u64), Event>,
@@ -51,7 +53,7 @@
 }
 
 impl Bench {
-    /// The instance 0 of a fleet.
+    /// Creates the bench for instance 0 of a fleet.
     pub(crate) fn new(size: Size) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings::builder(&instance_name(0), &instance_address(0))
@@ -63,7 +65,7 @@
             size,
             machine: Machine::new(settings, now),
             now,
-            spent: Spent::default(),
+            cost: Cost::default(),
             view: None,
             peers: Store::default(),
             dead: Set::default(),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// A blank frame of a peer.
+    /// Returns a frame from a peer without content.
     pub(crate) fn frame(&self, number: usize) -> Frame {
         Frame {
             protocol: PROTOCOL,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Some live peer, never this instance.
+    /// Returns a random peer that is not dead; never this instance.
     pub(crate) fn peer(&mut self) -> usize {
         loop {
             let peer = 1 + self.random.below(self.size.instances - 1);
@@ -97,46 +99,46 @@
         }
     }
 
-    /// Tells the peers of records.
+    /// Adds records to the store of the simulated peers.
     pub(crate) fn publish(&mut self, records: &[Record]) {
         for record in records {
             self.peers.apply(record);
         }
     }
 
-    pub(crate) fn at(&mut self, delay: Duration, event: Event) {
+    pub(crate) fn schedule(&mut self, delay: Duration, event: Event) {
         self.sequence += 1;
         self.queue.insert((self.now + delay, self.sequence), event);
     }
 
     pub(crate) fn page(&mut self, records: Vec<Record>, head: u64) {
-        self.give(Event::Page(Page { head, records, ..Page::default() }));
+        self.handle(Event::Page(Page { head, records, ..Page::default() }));
     }
 
-    /// Gives an event at once and plays the answers to what follows.
-    pub(crate) fn give(&mut self, event: Event) {
+    /// Passes an event to the machine at once and simulates the replies to its actions.
+    pub(crate) fn handle(&mut self, event: Event) {
         if let Event::Frame(frame) = &event {
-            self.spent.received += frame.encoded_len() as u64;
+            self.cost.received += frame.encoded_len() as u64;
         }
         let mut out = Vec::new();
         let before = std::time::Instant::now();
         self.machine.handle(self.now, event, &mut out);
-        self.spent.time += before.elapsed();
+        self.cost.time += before.elapsed();
         for action in out {
-            self.act(action);
+            self.perform(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { to, frame } => self.sent(&to, *frame),
+            Action::Send { to, frame } => self.count_sent(&to, *frame),
             Action::Watch(read) => {
                 let head = self.peers.revision();
                 let page = Page { head, records: Vec::new(), ..Page::default() };
-                self.at(read.wait.max(HOP), Event::Page(page));
+                self.schedule(read.wait.max(NETWORK_DELAY), Event::Page(page));
             }
             Action::View(view) => {
-                self.spent.views += 1;
+                self.cost.views += 1;
                 self.view = Some(view);
             }
             Action::Log(_) | Action::Generation(_) => {}
@@ -145,70 +147,73 @@
         }
     }
 
-    fn sent(&mut self, to: &str, frame: Frame) {
-        self.spent.frames += 1;
-        self.spent.sent += frame.encoded_len() as u64;
+    fn count_sent(&mut self, to: &str, frame: Frame) {
+        self.cost.frames += 1;
+        self.cost.sent += frame.encoded_len() as u64;
         if frame.probes.is_empty() {
             return;
         }
         let number = (1..self.size.instances).find(|&number| instance_address(number) == *to);
         if let Some(number) = number.filter(|number| !self.dead.contains(number)) {
             let answer = Frame { acknowledgements: frame.probes, ..self.frame(number) };
-            self.at(HOP, Event::Frame(Box::new(answer)));
+            self.schedule(NETWORK_DELAY, Event::Frame(Box::new(answer)));
         }
     }
 
-    /// Lets time pass with what peers send by the protocol.
+    /// Advances the virtual clock by `span` while the peers send probes and digests at their
+    /// intervals.
     pub(crate) fn run(&mut self, span: Duration) {
         let end = self.now + span;
-        self.expect_probes(span);
-        self.expect_digests(span);
+        self.schedule_probes(span);
+        self.schedule_digests(span);
         loop {
-            let wake = self.machine.next_wake();
-            let first = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let next = first.map_or(wake, |first| first.min(wake)).max(self.now);
-            if next > end {
+            let wake_time = self.machine.next_wake();
+            let next_event_time = self.queue.first_key_value().map(|((at, _), _)| *at);
+            let next_time = next_event_time
+                .map_or(wake_time, |next_event_time| next_event_time.min(wake_time))
+                .max(self.now);
+            if next_time > end {
                 break;
             }
-            self.now = next;
+            self.now = next_time;
             let event = match self.queue.first_entry() {
-                Some(entry) if entry.key().0 <= next => entry.remove(),
+                Some(entry) if entry.key().0 <= next_time => entry.remove(),
                 _ => Event::Tick,
             };
-            self.give(event);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    fn expect_probes(&mut self, span: Duration) {
-        let count = micros(span) / micros(PROBE);
+    fn schedule_probes(&mut self, span: Duration) {
+        let count = micros(span) / micros(PROBE_INTERVAL);
         for round in 0..count {
-            for predecessor in 1..=PREDECESSORS.min(self.size.instances - 1) {
-                let mut frame = self.frame(predecessor);
+            for probing_peer in 1..=PROBING_PEERS.min(self.size.instances - 1) {
+                let mut frame = self.frame(probing_peer);
                 frame.probes.push(Probe { number: round });
-                let delay = PROBE * round as u32 + HOP * predecessor as u32;
-                self.at(delay, Event::Frame(Box::new(frame)));
+                let delay = PROBE_INTERVAL * round as u32 + NETWORK_DELAY * probing_peer as u32;
+                self.schedule(delay, Event::Frame(Box::new(frame)));
             }
         }
     }
 
-    fn expect_digests(&mut self, span: Duration) {
-        let count = micros(span) / micros(DIGEST);
+    fn schedule_digests(&mut self, span: Duration) {
+        let count = micros(span) / micros(DIGEST_INTERVAL);
         for round in 0..count {
             let peer = self.peer();
             let mut frame = self.frame(peer);
             frame.probes.push(Probe { number: round });
             frame.digest = Some(self.peers.digest());
-            let delay = DIGEST * round as u32 + DIGEST / 2;
-            self.at(delay, Event::Frame(Box::new(frame)));
+            let delay = DIGEST_INTERVAL * round as u32 + DIGEST_INTERVAL / 2;
+            self.schedule(delay, Event::Frame(Box::new(frame)));
         }
     }
 
-    /// What a closure and the given span after it have spent.
-    pub(crate) fn spend(&mut self, span: Duration, act: impl FnOnce(&mut Self)) -> Spent {
-        self.spent = Spent::default();
+    /// Returns the cost of a closure together with the given span of virtual time after it.
+    pub(crate) fn cost_of(&mut self, span: Duration, act: impl FnOnce(&mut Self)) -> Cost {
+        self.cost = Cost::default();
         act(self);
         self.run(span);
-        self.spent
+        self.cost
     }
 }
--- a/crates/core/examples/scale/control.rs
+++ b/crates/core/examples/scale/control.rs
@@ -1,4 +1,4 @@
-//! Cost of the control machine.
+//! Measures the cost of the control machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,37 +11,37 @@
 use ladder_core::view::View;
 use ladder_core::{gather, leaf};
 
-use crate::bench::{Bench, Spent};
+use crate::bench::{Bench, Cost};
 use crate::fleet::{self, Publisher, Size, index_name, instance_address, instance_name};
 use crate::memory::{self, Publication};
 use crate::random::median;
 use crate::table::{Metric, Part, Row};
 
-/// Repeats of each event.
+/// Number of repeats of each event.
 const REPEATS: usize = 5;
-/// Time in which the consequences of an event are over.
-const AFTER: Duration = Duration::from_secs(5);
-/// Records of one page while memory is measured.
-const PAGE: usize = 8000;
-/// Rumours of one frame, as the machine sends them.
-const RUMOURS: usize = 16;
+/// Virtual time after an event in which all its consequences happen.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Number of records in one page while memory is measured.
+const PAGE_RECORDS: usize = 8000;
+/// Number of gossip updates in one frame, as the machine sends them.
+const RUMOURS_PER_FRAME: usize = 16;
 const KILO: f64 = 1000.0;
 
-/// All figures at one size.
+/// Returns all figures of the control machine at one fleet size.
 pub(crate) fn measure(size: &Size) -> Vec<Row> {
     let mut rows = Rows { size: *size, rows: Vec::new() };
-    memory_use(size, &mut rows);
-    ranking(size, &mut rows);
+    measure_memory(size, &mut rows);
+    measure_ranking(size, &mut rows);
     let mut publisher = Publisher::default();
     let mut bench = start(size, &mut publisher, &mut rows);
     let idle = idle(&mut bench, &mut rows);
-    let mut measure = Measure { bench, publisher, idle, rows, victim: size.instances };
-    measure.changes();
-    measure.bucket();
-    measure.views();
-    measure.failures();
-    measure.replacements();
-    measure.zone();
+    let mut measure = Measure { bench, publisher, idle, rows, last_lost: size.instances };
+    measure.measure_changes();
+    measure.measure_bucket();
+    measure.measure_views();
+    measure.measure_failures();
+    measure.measure_replacements();
+    measure.measure_zone_loss();
     measure.rows.rows
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Memory of the records alone, in a process of its own.
+/// Measures the memory of the records alone; runs in its own process.
 pub(crate) fn store(size: &Size) -> Vec<Row> {
     let mut rows = Rows { size: *size, rows: Vec::new() };
     let publication = Publication::new(size);
@@ -69,24 +69,25 @@
     rows.rows
 }
 
-/// Loads in several pages, so that the records on their way count little.
-fn memory_use(size: &Size, rows: &mut Rows) {
+/// Measures the memory of a machine that has loaded the publication. The records arrive in several
+/// pages, so that the records of a page in transit add little memory.
+fn measure_memory(size: &Size, rows: &mut Rows) {
     let publication = Publication::new(size);
     rows.add(Metric::Records, publication.records as f64);
     rows.add(Metric::PageBytes, publication.bytes.len() as f64 / KILO);
-    rows.add(Metric::LargestRecord, publication.largest as f64 / KILO);
+    rows.add(Metric::LargestRecord, publication.largest_bytes as f64 / KILO);
     let before = memory::resident();
     let before_peak = memory::peak();
     let mut bench = Bench::new(*size);
     let mut records = publication.decode();
     loop {
-        let page: Vec<Record> = records.by_ref().take(PAGE).collect();
+        let page: Vec<Record> = records.by_ref().take(PAGE_RECORDS).collect();
         if page.is_empty() {
             break;
         }
         bench.page(page, publication.revision);
     }
-    bench.run(AFTER);
+    bench.run(SETTLE_TIME);
     rows.add(Metric::Memory, memory::resident() - before);
     rows.add(Metric::PeakMemory, memory::peak() - before_peak);
 }
@@ -95,17 +96,17 @@
     let records = publisher.all(size);
     let mut bench = Bench::new(*size);
     bench.publish(&records);
-    bench.give(Event::Tick);
-    bench.spent = Spent::default();
+    bench.handle(Event::Tick);
+    bench.cost = Cost::default();
     bench.page(records, publisher.revision);
-    rows.add(Metric::StartTime, milliseconds(bench.spent.time));
-    introduce(&mut bench, rows);
-    bench.run(AFTER * 2);
+    rows.add(Metric::StartTime, milliseconds(bench.cost.time));
+    measure_introduction(&mut bench, rows);
+    bench.run(SETTLE_TIME * 2);
     bench
 }
 
-/// One ranking of a service over the published list.
-fn ranking(size: &Size, rows: &mut Rows) {
+/// Measures the time to rank the published instances for one service.
+fn measure_ranking(size: &Size, rows: &mut Rows) {
     let names: Vec<(String, String)> =
         (0..size.instances).map(|number| (instance_name(number), size.zone(number))).collect();
     let fleet: Vec<placement::Instance<'_>> =
@@ -120,26 +121,27 @@
     rows.add(Metric::RankTime, median(times));
 }
 
-/// A listed peer speaks for the first time; peers tell of the incarnations: sixteen as in one frame
-/// of the machine, then all the others.
-fn introduce(bench: &mut Bench, rows: &mut Rows) {
-    bench.spent = Spent::default();
+/// Measures the first frame of a listed peer, and the first gossip updates about the incarnations
+/// of the peers: sixteen in one frame, as the machine sends them, then all others in a second
+/// frame.
+fn measure_introduction(bench: &mut Bench, rows: &mut Rows) {
+    bench.cost = Cost::default();
     let first = bench.frame(bench.size.instances - 1);
-    bench.give(Event::Frame(Box::new(first)));
-    rows.add(Metric::FirstFrame, milliseconds(bench.spent.time));
+    bench.handle(Event::Frame(Box::new(first)));
+    rows.add(Metric::FirstFrame, milliseconds(bench.cost.time));
     let all: Vec<Rumour> = (1..bench.size.instances)
         .map(|number| rumour(&bench.size, number, Liveness::Alive))
         .collect();
-    let (first, rest) = all.split_at(RUMOURS.min(all.len()));
-    bench.spent = Spent::default();
-    tell(bench, first.to_vec());
-    rows.add(Metric::StartRumours, milliseconds(bench.spent.time));
-    tell(bench, rest.to_vec());
+    let (first, rest) = all.split_at(RUMOURS_PER_FRAME.min(all.len()));
+    bench.cost = Cost::default();
+    send_rumours(bench, first.to_vec());
+    rows.add(Metric::StartRumours, milliseconds(bench.cost.time));
+    send_rumours(bench, rest.to_vec());
 }
 
-fn tell(bench: &mut Bench, rumours: Vec<Rumour>) {
+fn send_rumours(bench: &mut Bench, rumours: Vec<Rumour>) {
     let frame = Frame { rumours, ..bench.frame(1) };
-    bench.give(Event::Frame(Box::new(frame)));
+    bench.handle(Event::Frame(Box::new(frame)));
 }
 
 fn rumour(size: &Size, number: usize, liveness: Liveness) -> Rumour {
@@ -154,18 +156,19 @@
     }
 }
 
-/// Microseconds a second without news.
-fn idle(bench: &mut Bench, rows: &mut Rows) -> Spent {
-    let mut all: Vec<Spent> = (0..REPEATS).map(|_| bench.spend(AFTER, |_| {})).collect();
-    all.sort_by_key(|spent| spent.time);
-    let middle = all[REPEATS / 2];
-    let seconds = AFTER.as_secs_f64();
-    let time = middle.time.as_secs_f64() * 1e6 / seconds;
+/// Measures the cost without changes: processor time in microseconds per second, frames and bytes
+/// per second.
+fn idle(bench: &mut Bench, rows: &mut Rows) -> Cost {
+    let mut costs: Vec<Cost> = (0..REPEATS).map(|_| bench.cost_of(SETTLE_TIME, |_| {})).collect();
+    costs.sort_by_key(|cost| cost.time);
+    let median_cost = costs[REPEATS / 2];
+    let seconds = SETTLE_TIME.as_secs_f64();
+    let time = median_cost.time.as_secs_f64() * 1e6 / seconds;
     rows.add(Metric::IdleTime, time);
-    rows.add(Metric::IdleFrames, middle.frames as f64 / seconds);
-    rows.add(Metric::IdleSent, middle.sent as f64 / seconds);
-    rows.add(Metric::IdleReceived, middle.received as f64 / seconds);
-    middle
+    rows.add(Metric::IdleFrames, median_cost.frames as f64 / seconds);
+    rows.add(Metric::IdleSent, median_cost.sent as f64 / seconds);
+    rows.add(Metric::IdleReceived, median_cost.received as f64 / seconds);
+    median_cost
 }
 
 fn milliseconds(time: Duration) -> f64 {
@@ -175,26 +178,27 @@
 struct Measure {
     bench: Bench,
     publisher: Publisher,
-    /// Spent in `AFTER` without news.
-    idle: Spent,
+    /// Cost of the machine during `SETTLE_TIME` without changes.
+    idle: Cost,
     rows: Rows,
-    /// The next instance to lose, counted down.
-    victim: usize,
+    /// Number of the instance lost last; the next one lost has the number below.
+    last_lost: usize,
 }
 
 impl Measure {
-    /// Median milliseconds and bytes sent beyond those without news.
-    fn beyond(&self, all: &[Spent]) -> (f64, f64) {
-        let time = |spent: &Spent| milliseconds(spent.time) - milliseconds(self.idle.time);
-        let sent = |spent: &Spent| spent.sent as f64 - self.idle.sent as f64;
-        let times = all.iter().map(time).collect();
-        let sent = all.iter().map(sent).collect();
+    /// Returns the median processor time in milliseconds and the median number of bytes sent, each
+    /// above the cost without changes.
+    fn cost_above_idle(&self, costs: &[Cost]) -> (f64, f64) {
+        let time = |cost: &Cost| milliseconds(cost.time) - milliseconds(self.idle.time);
+        let sent = |cost: &Cost| cost.sent as f64 - self.idle.sent as f64;
+        let times = costs.iter().map(time).collect();
+        let sent = costs.iter().map(sent).collect();
         (median(times), median(sent))
     }
 
-    fn changes(&mut self) {
-        let mut all = Vec::new();
-        let mut copies = Vec::new();
+    fn measure_changes(&mut self) {
+        let mut costs = Vec::new();
+        let mut copy_times = Vec::new();
         for repeat in 0..REPEATS {
             let service = repeat % self.bench.size.services();
             let body = fleet::entry(service, 2000 + repeat as u32);
@@ -204,20 +208,20 @@
             let mut frame = self.bench.frame(peer);
             frame.records.push(record);
             let copy = frame.clone();
-            let give = |bench: &mut Bench| bench.give(Event::Frame(Box::new(frame)));
-            all.push(self.bench.spend(AFTER, give));
-            self.bench.spent = Spent::default();
-            self.bench.give(Event::Frame(Box::new(copy)));
-            copies.push(milliseconds(self.bench.spent.time) * KILO);
+            let handle_frame = |bench: &mut Bench| bench.handle(Event::Frame(Box::new(frame)));
+            costs.push(self.bench.cost_of(SETTLE_TIME, handle_frame));
+            self.bench.cost = Cost::default();
+            self.bench.handle(Event::Frame(Box::new(copy)));
+            copy_times.push(milliseconds(self.bench.cost.time) * KILO);
         }
-        let (time, sent) = self.beyond(&all);
+        let (time, sent) = self.cost_above_idle(&costs);
         self.rows.add(Metric::ChangeTime, time);
-        self.rows.add(Metric::ChangeCopyTime, median(copies));
+        self.rows.add(Metric::ChangeCopyTime, median(copy_times));
         self.rows.add(Metric::ChangeSent, sent);
     }
 
-    /// A peer's digest differs in one bucket.
-    fn bucket(&mut self) {
+    /// Measures a digest of a peer that differs in one bucket.
+    fn measure_bucket(&mut self) {
         let mut times = Vec::new();
         let mut sent = Vec::new();
         for repeat in 0..REPEATS {
@@ -225,17 +229,18 @@
             let mut digest = self.bench.peers.digest();
             digest.buckets[repeat] ^= 1;
             frame.digest = Some(digest);
-            self.bench.spent = Spent::default();
-            self.bench.give(Event::Frame(Box::new(frame)));
-            times.push(milliseconds(self.bench.spent.time));
-            sent.push(self.bench.spent.sent as f64 / KILO);
+            self.bench.cost = Cost::default();
+            self.bench.handle(Event::Frame(Box::new(frame)));
+            times.push(milliseconds(self.bench.cost.time));
+            sent.push(self.bench.cost.sent as f64 / KILO);
         }
         self.rows.add(Metric::BucketTime, median(times));
         self.rows.add(Metric::BucketSent, median(sent));
     }
 
-    /// What a view costs those that take it, and what it says of an index.
-    fn views(&mut self) {
+    /// Measures the time in which the gather and leaf machines apply a view, and counts the owners
+    /// in the view.
+    fn measure_views(&mut self) {
         let Some(view) = self.bench.view.clone() else {
             return;
         };
@@ -257,84 +262,87 @@
         }
         self.rows.add(Metric::GatherView, median(gather_times));
         self.rows.add(Metric::LeafView, median(leaf_times));
-        self.rows.add(Metric::OwnersPerQuery, owners(&view) as f64);
-        self.rows.add(Metric::MostServicesOwned, most(&view) as f64);
+        self.rows.add(Metric::OwnersPerQuery, owner_count(&view) as f64);
+        self.rows.add(Metric::MostServicesOwned, most_services_owned(&view) as f64);
     }
 
-    /// Peers suspect an instance and hold it dead a second later.
-    fn failures(&mut self) {
-        let mut all = Vec::new();
+    /// Measures an instance failure: peers report the instance as suspected, and as dead one second
+    /// later.
+    fn measure_failures(&mut self) {
+        let mut costs = Vec::new();
         for _ in 0..REPEATS.min(self.bench.size.instances / 4) {
-            self.victim -= 1;
-            all.push(self.lose(&[self.victim]));
+            self.last_lost -= 1;
+            costs.push(self.lose(&[self.last_lost]));
         }
-        let (time, sent) = self.beyond(&all);
+        let (time, sent) = self.cost_above_idle(&costs);
         self.rows.add(Metric::FailureTime, time);
         self.rows.add(Metric::FailureSent, sent);
     }
 
-    fn lose(&mut self, victims: &[usize]) -> Spent {
+    fn lose(&mut self, lost_instances: &[usize]) -> Cost {
         let size = self.bench.size;
         let rumours = |liveness| {
-            let all = victims.iter().map(|&at| rumour(&size, at, liveness));
+            let all = lost_instances.iter().map(|&number| rumour(&size, number, liveness));
             all.collect::<Vec<_>>()
         };
         let suspect = rumours(Liveness::Suspect);
         let dead = rumours(Liveness::Dead);
-        self.bench.dead.extend(victims);
-        self.bench.spend(AFTER, |bench| {
-            spread_over(bench, Duration::ZERO, &suspect);
-            spread_over(bench, Duration::from_secs(1), &dead);
+        self.bench.dead.extend(lost_instances);
+        self.bench.cost_of(SETTLE_TIME, |bench| {
+            schedule_rumours(bench, Duration::ZERO, &suspect);
+            schedule_rumours(bench, Duration::from_secs(1), &dead);
         })
     }
 
-    /// The platform lists a successor in the place of an instance, and it speaks.
-    fn replacements(&mut self) {
-        let mut all = Vec::new();
+    /// Measures a replacement: the platform lists a successor in place of an instance, and the
+    /// successor becomes live.
+    fn measure_replacements(&mut self) {
+        let mut costs = Vec::new();
         for _ in 0..REPEATS.min(self.bench.size.instances / 4) {
-            self.victim -= 1;
-            self.bench.dead.insert(self.victim);
-            let new = self.victim + 2 * self.bench.size.instances;
-            let gone = self.publisher.record(fleet::withdrawn(self.victim));
-            let body = fleet::instance(&self.bench.size, new);
-            let records = vec![gone, self.publisher.record(body)];
+            self.last_lost -= 1;
+            self.bench.dead.insert(self.last_lost);
+            let successor = self.last_lost + 2 * self.bench.size.instances;
+            let withdrawal = self.publisher.record(fleet::withdrawn(self.last_lost));
+            let body = fleet::instance(&self.bench.size, successor);
+            let records = vec![withdrawal, self.publisher.record(body)];
             self.bench.publish(&records);
             let frame = Frame {
                 records,
-                rumours: vec![rumour(&self.bench.size, new, Liveness::Alive)],
+                rumours: vec![rumour(&self.bench.size, successor, Liveness::Alive)],
                 ..self.bench.frame(1)
             };
-            let give = |bench: &mut Bench| bench.give(Event::Frame(Box::new(frame)));
-            all.push(self.bench.spend(AFTER, give));
+            let handle_frame = |bench: &mut Bench| bench.handle(Event::Frame(Box::new(frame)));
+            costs.push(self.bench.cost_of(SETTLE_TIME, handle_frame));
         }
-        let (time, sent) = self.beyond(&all);
+        let (time, sent) = self.cost_above_idle(&costs);
         self.rows.add(Metric::ReplacementTime, time);
         self.rows.add(Metric::ReplacementSent, sent);
     }
 
-    /// One zone is lost at once.
-    fn zone(&mut self) {
+    /// Measures the loss of all instances of one zone at once.
+    fn measure_zone_loss(&mut self) {
         let zones = self.bench.size.zones;
-        let victims: Vec<usize> = (4..self.victim).filter(|at| at % zones == 1 % zones).collect();
-        let spent = self.lose(&victims);
-        let (time, sent) = self.beyond(&[spent]);
+        let lost_instances: Vec<usize> =
+            (4..self.last_lost).filter(|number| number % zones == 1 % zones).collect();
+        let cost = self.lose(&lost_instances);
+        let (time, sent) = self.cost_above_idle(&[cost]);
         self.rows.add(Metric::ZoneTime, time);
-        self.rows.add(Metric::ZoneViews, spent.views as f64);
+        self.rows.add(Metric::ZoneViews, cost.views as f64);
         self.rows.add(Metric::ZoneSent, sent / KILO);
     }
 }
 
-/// Rumours arrive in full frames, a millisecond apart.
-fn spread_over(bench: &mut Bench, delay: Duration, rumours: &[Rumour]) {
-    for (number, part) in rumours.chunks(RUMOURS).enumerate() {
-        let frame = Frame { rumours: part.to_vec(), ..bench.frame(2) };
+/// Schedules gossip updates in full frames that arrive one millisecond apart.
+fn schedule_rumours(bench: &mut Bench, delay: Duration, rumours: &[Rumour]) {
+    for (number, rumours_of_frame) in rumours.chunks(RUMOURS_PER_FRAME).enumerate() {
+        let frame = Frame { rumours: rumours_of_frame.to_vec(), ..bench.frame(2) };
         let delay = delay + Duration::from_millis(number as u64);
-        bench.at(delay, Event::Frame(Box::new(frame)));
+        bench.schedule(delay, Event::Frame(Box::new(frame)));
     }
 }
 
-/// Owners of the services of the first index.
-fn owners(view: &View) -> usize {
+/// Returns the number of owners of the services of the first index.
+fn owner_count(view: &View) -> usize {
     let versions = view.indexes.get(index_name(0).as_str());
     let shards = versions.map_or(&[][..], |versions| &versions[0].shards);
     let services = shards.iter().filter_map(|shard| view.service(&shard.service));
@@ -343,8 +351,8 @@
     names.len()
 }
 
-/// Services of the instance that owns the most.
-fn most(view: &View) -> usize {
+/// Returns the number of services of the instance that owns the most.
+fn most_services_owned(view: &View) -> usize {
     let mut counts: Map<&str, usize> = Map::default();
     for owner in view.services.values().filter_map(|service| service.owner()) {
         *counts.entry(&owner.peer.name).or_default() += 1;
--- a/crates/core/examples/scale/fleet.rs
+++ b/crates/core/examples/scale/fleet.rs
@@ -1,13 +1,14 @@
-//! Sizes of the line and what is published at each.
+//! Fleet sizes of the measurement, and the records that are published at each size.
 
 use ladder_core::schema::catalogue::{Entry, Limits, Operation, Preference, Urgency};
 use ladder_core::schema::publication::{
     Holding, Index, Instance, Kind, Record, Server, Shard, State, Tombstone, record::Body,
 };
 
-/// Shards of an index at most, one for each service: the servers that a query asks in two years.
-pub(crate) const SHARDS: usize = 2000;
-/// Servers of a service.
+/// Largest number of shards of an index, one for each service; this is the number of servers that a
+/// query asks in two years.
+pub(crate) const MAX_SHARDS: usize = 2000;
+/// Number of servers of a service.
 const REPLICAS: usize = 3;
 
 /// Size of a fleet.
@@ -18,7 +19,7 @@
     pub(crate) zones: usize,
 }
 
-/// From today's nine instances to the fleet of two years.
+/// Measured fleet sizes, from today's nine instances to the fleet expected in two years.
 pub(crate) const SIZES: [Size; 4] =
     [size(9, 106, 3), size(100, 2_000, 6), size(1_000, 16_000, 15), size(3_700, 64_000, 30)];
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// Numbers the records of a publication.
+/// Creates the records of a publication with ascending revisions.
 #[derive(Debug, Default)]
 pub(crate) struct Publisher {
     pub(crate) revision: u64,
@@ -48,20 +49,20 @@
         Record { revision: self.revision, body: Some(body) }
     }
 
-    /// Hands on the records of the whole publication of a fleet one by one.
+    /// Passes the records of the whole publication of a fleet to `take`, one by one.
     pub(crate) fn each(&mut self, size: &Size, mut take: impl FnMut(Record)) {
         let services = size.services();
         let instances = (0..size.instances).map(|number| instance(size, number));
         let entries = (0..services).map(|number| entry(number, 1000));
         let servers = (0..size.servers).map(|number| server(size, number));
-        let indexes = (0..services.div_ceil(SHARDS)).map(|number| index(services, number));
+        let indexes = (0..services.div_ceil(MAX_SHARDS)).map(|number| index(services, number));
         let bodies = instances.chain(entries).chain(servers).chain(indexes);
         for body in bodies {
             take(self.record(body));
         }
     }
 
-    /// The whole publication of a fleet.
+    /// Returns the records of the whole publication of a fleet.
     pub(crate) fn all(&mut self, size: &Size) -> Vec<Record> {
         let mut records = Vec::new();
         self.each(size, |record| records.push(record));
@@ -124,14 +125,14 @@
         state: State::Live as i32,
         slots: 2,
         connections: 25,
-        holdings: vec![Holding { index: index_name(service / SHARDS), version: 1 }],
+        holdings: vec![Holding { index: index_name(service / MAX_SHARDS), version: 1 }],
         warmup_ms: 0,
     })
 }
 
 fn index(services: usize, number: usize) -> Body {
-    let first = number * SHARDS;
-    let last = services.min(first + SHARDS);
+    let first = number * MAX_SHARDS;
+    let last = services.min(first + MAX_SHARDS);
     let shard = |service: usize| Shard {
         name: format!("shard-{service:05}"),
         service: service_name(service),
--- a/crates/core/examples/scale/gather.rs
+++ b/crates/core/examples/scale/gather.rs
@@ -1,4 +1,5 @@
-//! Cost of the gathering machine for a query over the view of the fleet of two years.
+//! Measures the cost of the gather machine for a query, with the view of the fleet expected in two
+//! years.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,47 +14,49 @@
 use prost::Message;
 
 use crate::fleet::{
-    self, SHARDS, SIZES, Size, entry, index_name, instance_address, instance_name, service_name,
+    self, MAX_SHARDS, SIZES, Size, entry, index_name, instance_address, instance_name, service_name,
 };
 use crate::random::median;
 use crate::table::{Metric, Part, Row};
 
-/// Owners that a wide query reaches: 2,000 servers by 17 of an instance.
+/// Number of owners that a query of all shards asks: 2,000 servers, of which each instance owns 17.
 const OWNERS: usize = 120;
+/// Number of measured queries.
 const QUERIES: usize = 400;
+/// Number of candidates for the ownership of a service.
 const CANDIDATES: usize = 8;
-/// Bytes of a shard's answer.
-const BODY: usize = 16;
+/// Size in bytes of the answer of a shard.
+const BODY_BYTES: usize = 16;
 
 pub(crate) fn measure() -> Vec<Row> {
     let size = SIZES[SIZES.len() - 1];
-    [20, SHARDS].iter().flat_map(|&shards| one(size, shards)).collect()
+    [20, MAX_SHARDS].iter().flat_map(|&shards| measure_query(size, shards)).collect()
 }
 
-fn one(size: Size, shards: usize) -> Vec<Row> {
+fn measure_query(size: Size, shards: usize) -> Vec<Row> {
     let view = Arc::new(view(&size, shards));
     let mut bench = Bench {
         machine: Machine::new(Settings::builder("instance-00000", 1).build()),
         now: Instant::from_millis(1000),
         callers: 0,
-        codec: Duration::ZERO,
-        bytes: 0,
+        codec_time: Duration::ZERO,
+        message_bytes: 0,
     };
-    let mut first = Vec::new();
+    let mut first_times = Vec::new();
     for _ in 0..10 {
         bench.handle(Event::View(Arc::clone(&view)));
-        first.push(micros(bench.query()));
+        first_times.push(micros(bench.query()));
     }
-    bench.codec = Duration::ZERO;
-    bench.bytes = 0;
+    bench.codec_time = Duration::ZERO;
+    bench.message_bytes = 0;
     let times: Vec<f64> = (0..QUERIES).map(|_| micros(bench.query())).collect();
     let queries = QUERIES as f64;
     let row = |metric, value| Row::new(Part::Gather, size, metric, value).shards(shards);
     vec![
-        row(Metric::FirstQueryTime, median(first)),
+        row(Metric::FirstQueryTime, median(first_times)),
         row(Metric::QueryTime, median(times)),
-        row(Metric::CodecTime, micros(bench.codec) / queries),
-        row(Metric::WorkBytes, bench.bytes as f64 / queries / 1000.0),
+        row(Metric::CodecTime, micros(bench.codec_time) / queries),
+        row(Metric::WorkBytes, bench.message_bytes as f64 / queries / 1000.0),
     ]
 }
 
@@ -65,9 +68,9 @@
     machine: Machine,
     now: Instant,
     callers: u64,
-    /// Time to encode work and decode replies, and their bytes.
-    codec: Duration,
-    bytes: usize,
+    /// Time to encode requests for work and to decode the replies to them.
+    codec_time: Duration,
+    message_bytes: usize,
 }
 
 impl Bench {
@@ -78,7 +81,8 @@
         (out, before.elapsed())
     }
 
-    /// One query of all shards, answered by every owner; returns the machine's time.
+    /// Sends one query of all shards, answers it for each owner, and returns the processor time of
+    /// the machine.
     fn query(&mut self) -> Duration {
         self.callers += 1;
         self.now = self.now + Duration::from_millis(1);
@@ -93,45 +97,45 @@
         };
         let (out, mut time) = self.handle(call);
         self.now = self.now + Duration::from_millis(10);
-        let mut answered = false;
+        let mut is_answered = false;
         for action in out {
             let Action::Send { to, work } = action else {
                 continue;
             };
             let replies = self.transfer(&work);
             let from = to.name;
-            let (out, spent) = self.handle(Event::Replies { from, replies });
-            time += spent;
-            answered |= out.iter().any(is_whole);
+            let (out, reply_time) = self.handle(Event::Replies { from, replies });
+            time += reply_time;
+            is_answered |= out.iter().any(is_complete);
         }
-        assert!(answered, "the query is answered whole");
+        assert!(is_answered, "the query is answered whole");
         time
     }
 
-    /// Encodes the work, answers it, decodes the replies.
+    /// Encodes the work, creates its replies and decodes them.
     fn transfer(&mut self, work: &wire::Work) -> Vec<wire::Reply> {
         let before = std::time::Instant::now();
-        self.bytes += work.encode_to_vec().len();
-        self.codec += before.elapsed();
+        self.message_bytes += work.encode_to_vec().len();
+        self.codec_time += before.elapsed();
         let replies = work.portions.iter().map(|portion| reply(work, portion));
         let frame = wire::Frame { replies: replies.collect(), ..wire::Frame::default() };
         let bytes = frame.encode_to_vec();
-        self.bytes += bytes.len();
+        self.message_bytes += bytes.len();
         let before = std::time::Instant::now();
         let frame = wire::Frame::decode(&bytes[..]).expect("just encoded");
-        self.codec += before.elapsed();
+        self.codec_time += before.elapsed();
         frame.replies
     }
 }
 
-fn is_whole(action: &Action) -> bool {
+fn is_complete(action: &Action) -> bool {
     matches!(action, Action::Answer { answer, .. } if answer.missing.is_empty())
 }
 
 fn reply(work: &wire::Work, portion: &wire::Portion) -> wire::Reply {
     let part = |shard: &String| call::Part {
         shard: shard.clone(),
-        body: "x".repeat(BODY),
+        body: "x".repeat(BODY_BYTES),
         response: None,
     };
     wire::Reply {
@@ -147,8 +151,8 @@
     }
 }
 
-/// A view of the whole fleet in which the index has so many shards, one for each of its services,
-/// held by [`OWNERS`] owners.
+/// Returns a view of the whole fleet in which the index has `shards` shards, one for each of its
+/// services, owned by [`OWNERS`] instances.
 fn view(size: &Size, shards: usize) -> View {
     let mut view = View { generation: 1, revision: 1, ready: true, ..View::default() };
     for number in 0..size.services() {
@@ -166,13 +170,13 @@
     let Body::Entry(entry) = entry(number, 1000) else {
         unreachable!("it is an entry");
     };
-    let block = number / SHARDS * OWNERS;
+    let first_owner = number / MAX_SHARDS * OWNERS;
     let candidate = |place: usize| {
-        let at = 1 + (block + (number + place) % OWNERS) % (size.instances - 1);
+        let instance = 1 + (first_owner + (number + place) % OWNERS) % (size.instances - 1);
         Candidate {
             peer: Peer {
-                name: instance_name(at).as_str().into(),
-                address: instance_address(at).as_str().into(),
+                name: instance_name(instance).as_str().into(),
+                address: instance_address(instance).as_str().into(),
             },
             live: true,
             local: false,
@@ -189,7 +193,7 @@
     }
 }
 
-/// A server of a service; it holds the first index.
+/// Returns a server of a service; it holds the first index.
 pub(crate) fn server(service: usize, place: usize) -> Server {
     Server {
         name: format!("server-{service:05}-{place}").as_str().into(),
--- a/crates/core/examples/scale/leaf.rs
+++ b/crates/core/examples/scale/leaf.rs
@@ -1,4 +1,5 @@
-//! Cost of the leaf machine: work, calls sent, calls ended, replies, on one thread.
+//! Measures the cost of the leaf machine on one thread: handling of work, calls sent, calls ended
+//! and replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,23 +17,24 @@
 use crate::random::median;
 use crate::table::{Metric, Part, Row};
 
-/// An instance's servers in two years, in services of two and three.
+/// Size of the part of the fleet that one instance owns in two years: 17 servers, in services of
+/// two or three servers.
 const SIZE: Size = size(1, 17, 1);
 const SERVICES: usize = 6;
 const ROUNDS: usize = 2000;
 const WINDOWS: usize = 9;
 
 pub(crate) fn measure() -> Vec<Row> {
-    [1, 100].iter().flat_map(|&shards| one(shards)).collect()
+    [1, 100].iter().flat_map(|&shards| measure_calls(shards)).collect()
 }
 
-fn one(shards: usize) -> Vec<Row> {
+fn measure_calls(shards: usize) -> Vec<Row> {
     let mut bench = Bench::new(shards);
-    bench.window();
-    let rates = (0..WINDOWS).map(|_| bench.window()).collect();
+    bench.run_window();
+    let rates = (0..WINDOWS).map(|_| bench.run_window()).collect();
     let rate = median(rates);
     let row = |metric, value| Row::new(Part::Leaf, SIZE, metric, value).shards(shards);
-    let (json, binary) = codec(shards);
+    let (json, binary) = codec_times(shards);
     vec![
         row(Metric::Decisions, rate),
         row(Metric::Reads, rate * shards as f64),
@@ -41,28 +43,29 @@
     ]
 }
 
-/// Microseconds to encode one target request and decode its answer, in JSON and in protobuf.
-fn codec(shards: usize) -> (f64, f64) {
+/// Returns the microseconds to encode one target request and decode its answer, in JSON and in
+/// protobuf.
+fn codec_times(shards: usize) -> (f64, f64) {
     let request = target::Request {
         id: "instance-00000/1/123456".to_owned(),
         key: "key-123456".to_owned(),
         index: index_name(0),
         version: 1,
-        shards: (0..shards).map(shard).collect(),
+        shards: (0..shards).map(shard_name).collect(),
         operation: "sweep".to_owned(),
         deadline_ms: 90,
         payload: String::new(),
         message: None,
     };
-    let answer = whole(&request);
+    let answer = complete_answer(&request);
     let json = serde_json::to_vec(&answer).expect("an answer is JSON");
     let binary = answer.encode_to_vec();
-    let by_json = time(|| {
+    let by_json = mean_time_us(|| {
         let bytes = serde_json::to_vec(&request).expect("a request is JSON");
         let answer: target::Answer = serde_json::from_slice(&json).expect("just encoded");
         bytes.len() + answer.parts.len()
     });
-    let by_binary = time(|| {
+    let by_binary = mean_time_us(|| {
         let bytes = request.encode_to_vec();
         let answer = target::Answer::decode(&binary[..]).expect("just encoded");
         bytes.len() + answer.parts.len()
@@ -70,8 +73,8 @@
     (by_json, by_binary)
 }
 
-/// Mean microseconds of a call.
-fn time(act: impl Fn() -> usize) -> f64 {
+/// Returns the mean time of a call of `act` in microseconds.
+fn mean_time_us(act: impl Fn() -> usize) -> f64 {
     let before = std::time::Instant::now();
     for _ in 0..ROUNDS {
         std::hint::black_box(act());
@@ -79,7 +82,7 @@
     before.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64
 }
 
-fn shard(number: usize) -> String {
+fn shard_name(number: usize) -> String {
     format!("shard-{number:05}")
 }
 
@@ -90,7 +93,7 @@
     query: u64,
     calls: u64,
     replies: u64,
-    core: Duration,
+    machine_time: Duration,
 }
 
 impl Bench {
@@ -107,40 +110,40 @@
             query: 0,
             calls: 0,
             replies: 0,
-            core: Duration::ZERO,
+            machine_time: Duration::ZERO,
         };
-        bench.give(Event::View(Arc::new(view)));
+        bench.handle(Event::View(Arc::new(view)));
         bench
     }
 
-    /// Calls a second over some rounds of the machine's own time.
-    fn window(&mut self) -> f64 {
+    /// Runs `ROUNDS` queries and returns the calls per second of the machine's own processor time.
+    fn run_window(&mut self) -> f64 {
         self.calls = 0;
-        self.core = Duration::ZERO;
+        self.machine_time = Duration::ZERO;
         for _ in 0..ROUNDS {
-            self.round();
+            self.run_round();
         }
-        self.calls as f64 / self.core.as_secs_f64()
+        self.calls as f64 / self.machine_time.as_secs_f64()
     }
 
-    /// One query over all services; every call is answered a millisecond later.
-    fn round(&mut self) {
+    /// Sends one query to all services; each call is answered one millisecond later.
+    fn run_round(&mut self) {
         self.query += 1;
         self.replies = 0;
         let work = Event::Work { from: peer("entry"), incarnation: 1, work: self.work() };
-        let mut sends = self.give(work);
+        let mut sends = self.handle(work);
         for _ in 0..100 {
             if self.replies == SERVICES as u64 {
                 return;
             }
             self.now = self.now + Duration::from_millis(1);
-            let ended = std::mem::take(&mut sends);
-            if ended.is_empty() {
-                sends = self.give(Event::Tick);
+            let calls_to_end = std::mem::take(&mut sends);
+            if calls_to_end.is_empty() {
+                sends = self.handle(Event::Tick);
             }
-            for (attempt, request) in ended {
+            for (attempt, request) in calls_to_end {
                 let outcome = answer(&request);
-                sends.extend(self.give(Event::Ended { attempt, outcome }));
+                sends.extend(self.handle(Event::Ended { attempt, outcome }));
             }
         }
         panic!("the query {} is not answered", self.query);
@@ -149,7 +152,7 @@
     fn work(&self) -> wire::Work {
         let portion = |number| wire::Portion {
             service: service_name(number),
-            shards: (0..self.shards).map(shard).collect(),
+            shards: (0..self.shards).map(shard_name).collect(),
             repeated: false,
             eligible: None,
         };
@@ -167,21 +170,22 @@
         }
     }
 
-    /// Gives an event; connections open at once, calls are returned.
-    fn give(&mut self, event: Event) -> Vec<(AttemptKey, target::Request)> {
+    /// Passes an event to the machine, reports its new connections as open at once, and returns the
+    /// calls that it sends.
+    fn handle(&mut self, event: Event) -> Vec<(AttemptKey, target::Request)> {
         let mut sends = Vec::new();
-        let mut opened: Vec<LaneKey> = Vec::new();
-        let mut next = Some(event);
-        while let Some(event) = next {
+        let mut opened_connections: Vec<LaneKey> = Vec::new();
+        let mut next_event = Some(event);
+        while let Some(event) = next_event {
             let mut out = Vec::new();
             let before = std::time::Instant::now();
             self.machine.handle(self.now, event, &mut out);
-            self.core += before.elapsed();
+            self.machine_time += before.elapsed();
             for action in out {
                 match action {
                     Action::Open { lane, .. }
                     | Action::Probe { lane, .. }
-                    | Action::Cancel { lane, .. } => opened.push(lane),
+                    | Action::Cancel { lane, .. } => opened_connections.push(lane),
                     Action::Send { attempt, request, .. } => {
                         self.calls += 1;
                         sends.push((attempt, request));
@@ -197,17 +201,17 @@
                     | Action::Count(_) => {}
                 }
             }
-            next = opened.pop().map(Event::Opened);
+            next_event = opened_connections.pop().map(Event::Opened);
         }
         sends
     }
 }
 
 fn answer(request: &target::Request) -> Outcome {
-    Outcome::Answer(whole(request))
+    Outcome::Answer(complete_answer(request))
 }
 
-fn whole(request: &target::Request) -> target::Answer {
+fn complete_answer(request: &target::Request) -> target::Answer {
     let part =
         |shard: &String| call::Part { shard: shard.clone(), body: "x".repeat(16), response: None };
     target::Answer {
--- a/crates/core/examples/scale/random.rs
+++ b/crates/core/examples/scale/random.rs
@@ -2,7 +2,7 @@
 
 use ladder_core::control::hash;
 
-/// Uniform picks from a seed.
+/// Uniformly distributed random numbers from a seed.
 pub(crate) struct Random(hash::Random);
 
 impl Random {
@@ -15,7 +15,7 @@
     }
 }
 
-/// The middle of some figures; zero if there are none.
+/// Returns the median of some figures; zero if there are none.
 pub(crate) fn median(mut figures: Vec<f64>) -> f64 {
     figures.sort_by(f64::total_cmp);
     figures.get(figures.len() / 2).copied().unwrap_or(0.0)
--- a/crates/core/examples/scale/rule.rs
+++ b/crates/core/examples/scale/rule.rs
@@ -1,18 +1,22 @@
-//! The rule of passing a change on, without machines: who has news passes it once to four others
-//! but not back; a digest each period to a random peer settles the difference of the two.
+//! Simulates the rule by which changes are forwarded, without machines: an instance that receives a
+//! new change sends it once to four other instances, but not back to its sender. In each digest
+//! period every instance compares its state with a random peer, and both have the change afterwards
+//! if one had it.
 
 use crate::fleet::{SIZES, Size};
 use crate::random::Random;
 use crate::table::{Metric, Part, Row};
 
+/// Number of instances to which an instance forwards a change.
 const FANOUT: usize = 4;
+/// Number of simulated changes for each fleet size.
 const RUNS: usize = 200;
 
 pub(crate) fn measure() -> Vec<Row> {
-    SIZES.iter().flat_map(one).collect()
+    SIZES.iter().flat_map(simulate).collect()
 }
 
-fn one(size: &Size) -> Vec<Row> {
+fn simulate(size: &Size) -> Vec<Row> {
     let mut random = Random::new(5);
     let mut hops = 0;
     let mut missed = 0;
@@ -20,87 +24,88 @@
     let mut copies = 0;
     for _ in 0..RUNS {
         let mut run = Run::new(size.instances);
-        hops = hops.max(run.push(&mut random));
-        missed += run.missing();
+        hops = hops.max(run.forward_all(&mut random));
+        missed += run.missing_count();
         copies += run.copies;
-        periods = periods.max(run.digests(&mut random));
+        periods = periods.max(run.digest_periods(&mut random));
     }
-    let all = (RUNS * size.instances) as f64;
+    let deliveries = (RUNS * size.instances) as f64;
     let row = |metric, value| Row::new(Part::Rule, *size, metric, value);
     vec![
         row(Metric::HopsAll, f64::from(hops)),
-        row(Metric::Copies, copies as f64 / all),
-        row(Metric::Missed, 100.0 * missed as f64 / all),
+        row(Metric::Copies, copies as f64 / deliveries),
+        row(Metric::Missed, 100.0 * missed as f64 / deliveries),
         row(Metric::Rounds, f64::from(periods)),
     ]
 }
 
 struct Run {
-    has: Vec<bool>,
+    has_change: Vec<bool>,
     copies: usize,
 }
 
 impl Run {
     fn new(instances: usize) -> Self {
-        Self { has: vec![false; instances], copies: 0 }
+        Self { has_change: vec![false; instances], copies: 0 }
     }
 
-    fn missing(&self) -> usize {
-        self.has.iter().filter(|has| !**has).count()
+    fn missing_count(&self) -> usize {
+        self.has_change.iter().filter(|has_change| !**has_change).count()
     }
 
-    /// Hops until nobody passes on any more.
-    fn push(&mut self, random: &mut Random) -> u32 {
-        self.has[0] = true;
-        let mut fresh = vec![(0, 0)];
+    /// Forwards the change until no instance has it left to forward; returns the number of hops.
+    fn forward_all(&mut self, random: &mut Random) -> u32 {
+        self.has_change[0] = true;
+        let mut senders = vec![(0, 0)];
         let mut hops = 0;
         loop {
-            let mut next = Vec::new();
-            for (own, from) in fresh {
-                self.pass_on(own, from, random, &mut next);
+            let mut next_senders = Vec::new();
+            for (own, from) in senders {
+                self.forward(own, from, random, &mut next_senders);
             }
-            if next.is_empty() {
+            if next_senders.is_empty() {
                 return hops;
             }
             hops += 1;
-            fresh = next;
+            senders = next_senders;
         }
     }
 
-    fn pass_on(
+    fn forward(
         &mut self,
         own: usize,
         from: usize,
         random: &mut Random,
-        next: &mut Vec<(usize, usize)>,
+        next_senders: &mut Vec<(usize, usize)>,
     ) {
-        let mut told: Vec<usize> = Vec::with_capacity(FANOUT);
-        let most = FANOUT.min(self.has.len().saturating_sub(2));
-        while told.len() < most {
-            let to = random.below(self.has.len());
-            if to == own || to == from || told.contains(&to) {
+        let mut receivers: Vec<usize> = Vec::with_capacity(FANOUT);
+        let receiver_count = FANOUT.min(self.has_change.len().saturating_sub(2));
+        while receivers.len() < receiver_count {
+            let to = random.below(self.has_change.len());
+            if to == own || to == from || receivers.contains(&to) {
                 continue;
             }
-            told.push(to);
+            receivers.push(to);
             self.copies += 1;
-            if !self.has[to] {
-                self.has[to] = true;
-                next.push((to, own));
+            if !self.has_change[to] {
+                self.has_change[to] = true;
+                next_senders.push((to, own));
             }
         }
     }
 
-    /// Periods until all have it, each instance asking one random other in each.
-    fn digests(&mut self, random: &mut Random) -> u32 {
+    /// Returns the number of digest periods until all instances have the change; in each period
+    /// every instance compares its state with one random instance.
+    fn digest_periods(&mut self, random: &mut Random) -> u32 {
         let mut periods = 0;
-        while self.missing() > 0 {
+        while self.missing_count() > 0 {
             periods += 1;
-            let before = self.has.clone();
+            let before = self.has_change.clone();
             for own in 0..before.len() {
                 let other = random.below(before.len());
-                let either = before[own] || before[other];
-                self.has[own] |= either;
-                self.has[other] |= either;
+                let either_has = before[own] || before[other];
+                self.has_change[own] |= either_has;
+                self.has_change[other] |= either_has;
             }
         }
         periods
--- a/crates/core/examples/scale/spread.rs
+++ b/crates/core/examples/scale/spread.rs
@@ -1,4 +1,5 @@
-//! One catalogue change through control machines that are joined by queues.
+//! Measures how a catalogue change spreads through control machines that are connected by simulated
+//! links.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,58 +19,61 @@
     fleet::size(72, 106, 3),
     fleet::size(200, 106, 3),
 ];
-/// Time of a frame from one machine to the next.
-const HOP: Duration = Duration::from_millis(1);
-/// The same when the receiver builds a large view before its answers go out.
-const SLOW_HOP: Duration = Duration::from_millis(230);
-const SETTLE: Duration = Duration::from_secs(15);
-const WINDOW: Duration = Duration::from_secs(8);
-/// Hops counted as push; digests come later.
-const PUSH: u32 = 30;
+/// Delay of a frame from one machine to the next.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
+/// Delay of a frame if the receiver creates a large view before it sends its own frames.
+const SLOW_NETWORK_DELAY: Duration = Duration::from_millis(230);
+/// Virtual time from the start of a fleet until it is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(15);
+/// Virtual time during which frames are counted.
+const WINDOW_LENGTH: Duration = Duration::from_secs(8);
+/// Number of hops within which an instance counts as reached by forwarding; digests arrive later.
+const MAX_FORWARD_HOPS: u32 = 30;
+/// Number of measured changes.
 const CHANGES: u32 = 20;
 
 pub(crate) fn measure() -> Vec<Row> {
-    let quick = SIZES.iter().flat_map(|size| one(Part::Spread, HOP, size));
+    let quick = SIZES.iter().flat_map(|size| measure_spread(Part::Spread, NETWORK_DELAY, size));
     let slow = SIZES[2..].iter();
-    let slow = slow.flat_map(|size| one(Part::SlowSpread, SLOW_HOP, size));
+    let slow = slow.flat_map(|size| measure_spread(Part::SlowSpread, SLOW_NETWORK_DELAY, size));
     quick.chain(slow).collect()
 }
 
-fn one(part: Part, hop: Duration, size: &Size) -> Vec<Row> {
+fn measure_spread(part: Part, hop: Duration, size: &Size) -> Vec<Row> {
     let mut fleet = Fleet::new(*size, hop);
-    fleet.run(SETTLE);
-    let idle = fleet.window(|_| {});
-    let mut half = Vec::new();
-    let mut all = Vec::new();
-    let mut missed = Vec::new();
+    fleet.run(SETTLE_TIME);
+    let idle = fleet.run_window(|_| {});
+    let mut hops_to_half = Vec::new();
+    let mut hops_to_all = Vec::new();
+    let mut missed_percent = Vec::new();
     let mut copies = Vec::new();
-    let mut sent = Vec::new();
-    let mut asked = Vec::new();
+    let mut sent_bytes = Vec::new();
+    let mut bucket_requests = Vec::new();
     for change in 0..CHANGES {
-        let window = fleet.window(|fleet| fleet.change(change));
-        let mut hops = fleet.hops();
+        let window = fleet.run_window(|fleet| fleet.publish_change(change));
+        let mut hops = fleet.forward_hops();
         hops.sort_unstable();
-        half.push(hops[hops.len() / 2] as f64);
-        all.push(hops[hops.len() - 1] as f64);
-        let late = size.instances - hops.len();
-        missed.push(100.0 * late as f64 / size.instances as f64);
+        hops_to_half.push(hops[hops.len() / 2] as f64);
+        hops_to_all.push(hops[hops.len() - 1] as f64);
+        let unreached = size.instances - hops.len();
+        missed_percent.push(100.0 * unreached as f64 / size.instances as f64);
         copies.push(fleet.copies as f64 / size.instances as f64);
-        sent.push(window.bytes - idle.bytes);
-        asked.push(window.asked);
+        sent_bytes.push(window.bytes - idle.bytes);
+        bucket_requests.push(window.bucket_requests);
     }
-    let seconds = WINDOW.as_secs_f64();
+    let seconds = WINDOW_LENGTH.as_secs_f64();
     let instances = size.instances as f64;
-    let missed_mean = missed.iter().sum::<f64>() / f64::from(CHANGES);
+    let missed_mean = missed_percent.iter().sum::<f64>() / f64::from(CHANGES);
     let row = |metric, value| Row::new(part, *size, metric, value);
     vec![
         row(Metric::IdleFrames, idle.frames / seconds / instances),
         row(Metric::IdleSent, idle.bytes / seconds / instances),
-        row(Metric::HopsHalf, median(half)),
-        row(Metric::HopsAll, median(all)),
+        row(Metric::HopsHalf, median(hops_to_half)),
+        row(Metric::HopsAll, median(hops_to_all)),
         row(Metric::Copies, median(copies)),
         row(Metric::Missed, missed_mean),
-        row(Metric::ChangeSent, median(sent) / instances),
-        row(Metric::BucketsAsked, median(asked) / instances),
+        row(Metric::ChangeSent, median(sent_bytes) / instances),
+        row(Metric::BucketsAsked, median(bucket_requests) / instances),
     ]
 }
 
@@ -77,25 +81,25 @@
 struct Window {
     frames: f64,
     bytes: f64,
-    /// Frames that ask for buckets that differ.
-    asked: f64,
+    /// Number of frames that request digest buckets that differ.
+    bucket_requests: f64,
 }
 
 struct Fleet {
     hop: Duration,
     now: Instant,
     machines: Vec<Machine>,
-    places: BTreeMap<String, usize>,
+    numbers_by_address: BTreeMap<String, usize>,
     queue: BTreeMap<(Instant, u64), (usize, Event)>,
     sequence: u64,
     publisher: Publisher,
     records: Vec<Record>,
     window: Window,
-    /// Revision of the change at hand and when it was published.
+    /// Revision of the current change, and the time of its publication.
     change: (u64, Instant),
-    /// When each instance first had the change in force.
-    reached: Vec<Option<Instant>>,
-    /// Frames that carried the change.
+    /// Time at which each instance first applied the change.
+    applied_at: Vec<Option<Instant>>,
+    /// Number of frames that contained the change.
     copies: u64,
 }
 
@@ -116,57 +120,61 @@
             hop,
             now,
             machines: (0..size.instances).map(machine).collect(),
-            places: (0..size.instances).map(|number| (instance_address(number), number)).collect(),
+            numbers_by_address: (0..size.instances)
+                .map(|number| (instance_address(number), number))
+                .collect(),
             queue: BTreeMap::new(),
             sequence: 0,
             publisher,
             records,
             window: Window::default(),
             change: (u64::MAX, now),
-            reached: vec![None; size.instances],
+            applied_at: vec![None; size.instances],
             copies: 0,
         };
-        (0..size.instances).for_each(|number| fleet.give(number, Event::Tick));
+        (0..size.instances).for_each(|number| fleet.handle(number, Event::Tick));
         fleet
     }
 
-    /// The platform tells one reader of a change.
-    fn change(&mut self, number: u32) {
+    /// Publishes a change; one platform reader receives it from the platform.
+    fn publish_change(&mut self, number: u32) {
         let record = self.publisher.record(fleet::entry(0, 2000 + number));
         self.change = (record.revision, self.now);
-        self.reached.fill(None);
+        self.applied_at.fill(None);
         self.copies = 0;
         let page = Page { head: record.revision, records: vec![record], ..Page::default() };
         let first = number as usize % self.machines.len();
-        self.give(first, Event::Page(page));
+        self.handle(first, Event::Page(page));
     }
 
-    /// Hops of the instances that push reached.
-    fn hops(&self) -> Vec<u64> {
-        let reached = self.reached.iter().flatten();
-        let spans = reached.map(|at| at.since(self.change.1));
-        let pushed = spans.filter(|span| *span <= self.hop * PUSH);
-        pushed.map(|span| micros(span) / micros(self.hop)).collect()
+    /// Returns the number of hops to each instance that forwarding reached.
+    fn forward_hops(&self) -> Vec<u64> {
+        let applied_at = self.applied_at.iter().flatten();
+        let spans = applied_at.map(|at| at.since(self.change.1));
+        let forwarded = spans.filter(|span| *span <= self.hop * MAX_FORWARD_HOPS);
+        forwarded.map(|span| micros(span) / micros(self.hop)).collect()
     }
 
-    fn window(&mut self, act: impl FnOnce(&mut Self)) -> Window {
+    fn run_window(&mut self, act: impl FnOnce(&mut Self)) -> Window {
         self.window = Window::default();
         act(self);
-        self.run(WINDOW);
+        self.run(WINDOW_LENGTH);
         self.window
     }
 
     fn run(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let wakes = self.machines.iter().map(Machine::next_wake);
-            let wake = wakes.min().unwrap_or(end);
-            let first = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let next = first.map_or(wake, |first| first.min(wake)).max(self.now);
-            if next > end {
+            let wake_times = self.machines.iter().map(Machine::next_wake);
+            let wake_time = wake_times.min().unwrap_or(end);
+            let next_event_time = self.queue.first_key_value().map(|((at, _), _)| *at);
+            let next_time = next_event_time
+                .map_or(wake_time, |next_event_time| next_event_time.min(wake_time))
+                .max(self.now);
+            if next_time > end {
                 break;
             }
-            self.now = next;
+            self.now = next_time;
             self.step();
         }
         self.now = end;
@@ -178,55 +186,56 @@
                 break;
             }
             let (number, event) = entry.remove();
-            self.give(number, event);
+            self.handle(number, event);
         }
         for number in 0..self.machines.len() {
             if self.machines[number].next_wake() <= self.now {
-                self.give(number, Event::Tick);
+                self.handle(number, Event::Tick);
             }
         }
     }
 
-    fn give(&mut self, number: usize, event: Event) {
+    fn handle(&mut self, number: usize, event: Event) {
         let mut out = Vec::new();
         self.machines[number].handle(self.now, event, &mut out);
         for action in out {
-            self.act(number, action);
+            self.perform(number, action);
         }
     }
 
-    fn act(&mut self, number: usize, action: Action) {
+    fn perform(&mut self, number: usize, action: Action) {
         match action {
             Action::Send { to, frame } => {
                 self.window.frames += 1.0;
                 self.window.bytes += frame.encoded_len() as f64;
                 let revision = self.change.0;
-                let carries = frame.records.iter().any(|record| record.revision == revision);
-                self.copies += u64::from(carries);
-                let to = self.places[&*to];
-                self.window.asked += f64::from(u8::from(!frame.wanted.is_empty()));
-                self.at(to, self.hop, Event::Frame(frame));
+                let contains_change =
+                    frame.records.iter().any(|record| record.revision == revision);
+                self.copies += u64::from(contains_change);
+                let to = self.numbers_by_address[&*to];
+                self.window.bucket_requests += f64::from(u8::from(!frame.wanted.is_empty()));
+                self.schedule(to, self.hop, Event::Frame(frame));
             }
             Action::Watch(read) => {
-                let first = read.after == 0;
-                let records = if first { self.records.clone() } else { Vec::new() };
+                let is_first_read = read.after == 0;
+                let records = if is_first_read { self.records.clone() } else { Vec::new() };
                 let page = Page { head: self.publisher.revision, records, ..Page::default() };
-                let delay = if first { self.hop } else { read.wait.max(self.hop) };
-                self.at(number, delay, Event::Page(page));
+                let delay = if is_first_read { self.hop } else { read.wait.max(self.hop) };
+                self.schedule(number, delay, Event::Page(page));
             }
             Action::View(view) => {
-                let reached = &mut self.reached[number];
-                if view.revision >= self.change.0 && reached.is_none() {
-                    *reached = Some(self.now);
+                let applied_at = &mut self.applied_at[number];
+                if view.revision >= self.change.0 && applied_at.is_none() {
+                    *applied_at = Some(self.now);
                 }
             }
             Action::Refused { .. } | Action::Log(_) | Action::Generation(_) | Action::Count(_) => {}
         }
     }
 
-    fn at(&mut self, number: usize, delay: Duration, event: Event) {
+    fn schedule(&mut self, number: usize, delay: Duration, event: Event) {
         self.sequence += 1;
-        let at = (self.now + delay, self.sequence);
-        self.queue.insert(at, (number, event));
+        let key = (self.now + delay, self.sequence);
+        self.queue.insert(key, (number, event));
     }
 }
--- a/crates/core/examples/scale/table.rs
+++ b/crates/core/examples/scale/table.rs
@@ -1,24 +1,24 @@
-//! The printed table.
+//! Formats the printed table of figures.
 
 use std::fmt;
 
 use crate::fleet::Size;
 
-/// The part of a daemon that a row is about.
+/// Part of a daemon, or simulation, that a row reports on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Part {
     Control,
-    /// Real control machines joined by queues.
+    /// Control machines connected by simulated links.
     Spread,
-    /// The same with a slow hop.
+    /// Control machines connected by simulated links with a long delay.
     SlowSpread,
-    /// The rule of passing news on, without machines.
+    /// Rule by which changes are forwarded, simulated without machines.
     Rule,
     Gather,
     Leaf,
 }
 
-/// What is measured.
+/// Metric of a row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Metric {
     Records,
@@ -68,7 +68,7 @@
 }
 
 impl Metric {
-    const fn words(self) -> (&'static str, &'static str) {
+    const fn description(self) -> (&'static str, &'static str) {
         match self {
             Self::Records => ("published records", "records"),
             Self::PageBytes => ("whole publication, encoded", "KB"),
@@ -118,12 +118,12 @@
     }
 }
 
-/// One figure.
+/// One figure of the table.
 #[derive(Clone, Debug)]
 pub(crate) struct Row {
     pub(crate) part: Part,
     pub(crate) size: Size,
-    /// Shards of a query or portion, where it matters.
+    /// Number of shards of a query or portion, if the figure depends on it.
     pub(crate) shards: Option<usize>,
     pub(crate) metric: Metric,
     pub(crate) value: f64,
@@ -149,7 +149,7 @@
 
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (name, unit) = self.metric.words();
+        let (name, unit) = self.metric.description();
         let part = format!("{:?}", self.part).to_lowercase();
         let shards = self.shards.map_or_else(String::new, |shards| shards.to_string());
         let (instances, servers) = (self.size.instances, self.size.servers);
--- a/crates/core/examples/sweep_trial/fleet.rs
+++ b/crates/core/examples/sweep_trial/fleet.rs
@@ -1,8 +1,9 @@
-//! Simulated servers: slots, a short queue, exponential or narrow service times, stragglers.
+//! Simulated servers with slots, a short queue, exponentially or narrowly distributed service
+//! times, and stragglers.
 
 use std::collections::VecDeque;
 
-/// SplitMix64.
+/// Random number generator SplitMix64.
 pub(crate) struct Random(pub(crate) u64);
 
 impl Random {
@@ -21,44 +22,44 @@
 
 /// Distribution of service times.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Times {
+pub(crate) enum ServiceTimes {
     Exponential,
     Narrow,
 }
 
 pub(crate) const MEAN_US: f64 = 20_000.0;
 pub(crate) const SLOTS: usize = 2;
-const STRAGGLERS: f64 = 0.01;
-const FACTOR: f64 = 10.0;
-const QUEUE: usize = 20;
+const STRAGGLER_SHARE: f64 = 0.01;
+const STRAGGLER_FACTOR: f64 = 10.0;
+const MAX_QUEUED: usize = 20;
 
-impl Times {
-    pub(crate) fn draw(self, random: &mut Random) -> u64 {
-        let factor = if random.unit() < STRAGGLERS { FACTOR } else { 1.0 };
-        let plain = match self {
+impl ServiceTimes {
+    pub(crate) fn draw_service_us(self, random: &mut Random) -> u64 {
+        let straggler_factor = if random.unit() < STRAGGLER_SHARE { STRAGGLER_FACTOR } else { 1.0 };
+        let service_us = match self {
             Self::Exponential => random.exponential(MEAN_US),
             Self::Narrow => MEAN_US * (0.7 + 0.6 * random.unit()),
         };
-        (plain * factor).max(1.0) as u64
+        (service_us * straggler_factor).max(1.0) as u64
     }
 
-    /// Mean with stragglers, in microseconds.
+    /// Returns the mean service time including stragglers, in microseconds.
     pub(crate) fn mean() -> f64 {
-        MEAN_US * (1.0 - STRAGGLERS + STRAGGLERS * FACTOR)
+        MEAN_US * (1.0 - STRAGGLER_SHARE + STRAGGLER_SHARE * STRAGGLER_FACTOR)
     }
 }
 
-/// A simulated server; calls are numbers.
+/// Simulated server; calls are identified by number.
 #[derive(Default)]
 pub(crate) struct Server {
     running: Vec<u64>,
-    waiting: VecDeque<u64>,
+    queued: VecDeque<u64>,
 }
 
-/// What became of a call that reached a server.
+/// Result of the arrival of a call at a server.
 pub(crate) enum Arrival {
     Started,
-    Waits,
+    Queued,
     Shed,
 }
 
@@ -68,22 +69,23 @@
             self.running.push(call);
             return Arrival::Started;
         }
-        if self.waiting.len() >= QUEUE {
+        if self.queued.len() >= MAX_QUEUED {
             return Arrival::Shed;
         }
-        self.waiting.push_back(call);
-        Arrival::Waits
+        self.queued.push_back(call);
+        Arrival::Queued
     }
 
-    /// Ends a call; `None` when it is not there, else the call that starts in its place.
+    /// Ends a running or queued call. Returns `None` if the server does not have the call, else the
+    /// queued call that starts in its place, if any.
     pub(crate) fn end(&mut self, call: u64) -> Option<Option<u64>> {
-        if let Some(place) = self.waiting.iter().position(|other| *other == call) {
-            self.waiting.remove(place);
+        if let Some(position) = self.queued.iter().position(|other| *other == call) {
+            self.queued.remove(position);
             return Some(None);
         }
-        let place = self.running.iter().position(|other| *other == call)?;
-        self.running.swap_remove(place);
-        let next = self.waiting.pop_front();
+        let position = self.running.iter().position(|other| *other == call)?;
+        self.running.swap_remove(position);
+        let next = self.queued.pop_front();
         self.running.extend(next);
         Some(next)
     }
--- a/crates/core/examples/sweep_trial/messages.rs
+++ b/crates/core/examples/sweep_trial/messages.rs
@@ -13,7 +13,7 @@
 use crate::mix::Kind;
 
 pub(crate) const SERVICES: usize = 20;
-pub(crate) const SERVERS: usize = 2;
+pub(crate) const SERVERS_PER_SERVICE: usize = 2;
 
 pub(crate) fn answer(request: &target::Request) -> Outcome {
     let part = |shard: &String| call::Part { shard: shard.clone(), ..call::Part::default() };
@@ -38,7 +38,7 @@
     Peer { name: name.into(), address: "127.0.0.1:1".into() }
 }
 
-/// A query to `kind.fan` services from the one numbered `first` on.
+/// Returns the work of a query to `kind.fan_out` services, starting with the service `first`.
 pub(crate) fn work(query: u64, kind: &Kind, first: usize) -> wire::Work {
     let portion = |step| wire::Portion {
         service: format!("service-{}", (first + step) % SERVICES),
@@ -56,7 +56,7 @@
         operation: kind.operation.into(),
         unrepeatable: kind.unrepeatable,
         budget_us: kind.budget_ms * 1000,
-        portions: (0..kind.fan).map(portion).collect(),
+        portions: (0..kind.fan_out).map(portion).collect(),
         ..wire::Work::default()
     }
 }
@@ -87,7 +87,7 @@
             }],
             ..Entry::default()
         }),
-        servers: (0..SERVERS).map(server).collect(),
+        servers: (0..SERVERS_PER_SERVICE).map(server).collect(),
         candidates: vec![Candidate { peer: peer("trial"), live: true, local: true }],
         sharers: 1,
         scarce: false,
--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -1,4 +1,4 @@
-//! One run: a machine, its servers and a queue of events on a virtual clock.
+//! One simulation run: a leaf machine, its servers and an event queue on a virtual clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,25 +12,25 @@
 use ladder_core::time::Instant;
 use ladder_core::view::View;
 
-use crate::fleet::{self, Arrival, Random, SLOTS, Times};
-use crate::messages::{SERVERS, SERVICES, answer, peer, refusal, service, work};
+use crate::fleet::{self, Arrival, Random, SLOTS, ServiceTimes};
+use crate::messages::{SERVERS_PER_SERVICE, SERVICES, answer, peer, refusal, service, work};
 use crate::mix::{self, Mix};
 
-const HOP_US: u64 = 500;
-const CONNECT_US: u64 = 6000;
-/// Queries that only teach.
-const WARM_UP: u64 = 1000;
+const NETWORK_DELAY_US: u64 = 500;
+const CONNECT_DELAY_US: u64 = 6000;
+/// Number of queries at the start during which the machine learns call times; the figures exclude them.
+const WARMUP_QUERIES: u64 = 1000;
 
-/// What to run.
+/// Settings of a simulation run.
 pub(crate) struct Plan {
-    pub(crate) times: Times,
+    pub(crate) times: ServiceTimes,
     pub(crate) load: f64,
     pub(crate) mix: Mix,
-    /// Queries.
+    /// Number of queries of the run.
     pub(crate) queries: u64,
 }
 
-/// What became of one kind of query; latencies in milliseconds.
+/// Results of one query kind; latencies are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tally {
     pub(crate) latencies: Vec<f64>,
@@ -38,13 +38,13 @@
     pub(crate) missing: usize,
 }
 
-/// What came out, by kind of the mix.
+/// Results of a run by query kind.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Figures {
     pub(crate) tallies: Vec<Tally>,
     pub(crate) portions: u64,
-    pub(crate) sends: u64,
-    pub(crate) core: Duration,
+    pub(crate) sent_calls: u64,
+    pub(crate) machine_time: Duration,
 }
 
 impl Figures {
@@ -56,19 +56,19 @@
             tally.missing += other.missing;
         }
         self.portions += other.portions;
-        self.sends += other.sends;
-        self.core += other.core;
+        self.sent_calls += other.sent_calls;
+        self.machine_time += other.machine_time;
     }
 }
 
-/// What happens in the simulation, ordered by time and number.
+/// Event of the simulation, ordered by time and number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Sweep,
+    StartQuery,
     Tick,
     Ready(LaneKey),
-    Reach(u64),
-    Done(u64),
+    Arrive(u64),
+    Complete(u64),
     Cancel(u64),
     Shed(u64),
     Withdrawn(u64),
@@ -82,10 +82,10 @@
 }
 
 #[derive(Clone, Copy, Default)]
-struct Sweep {
+struct OpenQuery {
     kind: usize,
     started: u64,
-    left: usize,
+    portions_left: usize,
     missing: usize,
 }
 
@@ -97,11 +97,11 @@
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     sequence: u64,
     servers: Vec<fleet::Server>,
-    places: BTreeMap<Arc<str>, usize>,
+    servers_by_address: BTreeMap<Arc<str>, usize>,
     lanes: BTreeMap<LaneKey, usize>,
     calls: BTreeMap<u64, Call>,
-    numbers: BTreeMap<String, u64>,
-    sweeps: BTreeMap<u64, Sweep>,
+    call_numbers: BTreeMap<String, u64>,
+    open_queries: BTreeMap<u64, OpenQuery>,
     started: u64,
     figures: Figures,
 }
@@ -114,18 +114,18 @@
         now: 1_000_000,
         steps: BinaryHeap::new(),
         sequence: 0,
-        servers: (0..SERVICES * SERVERS).map(|_| fleet::Server::default()).collect(),
-        places: BTreeMap::new(),
+        servers: (0..SERVICES * SERVERS_PER_SERVICE).map(|_| fleet::Server::default()).collect(),
+        servers_by_address: BTreeMap::new(),
         lanes: BTreeMap::new(),
         calls: BTreeMap::new(),
-        numbers: BTreeMap::new(),
-        sweeps: BTreeMap::new(),
+        call_numbers: BTreeMap::new(),
+        open_queries: BTreeMap::new(),
         started: 0,
         figures: Figures { tallies: vec![Tally::default(); plan.mix.len()], ..Figures::default() },
     };
     run.publish();
-    run.at(20_000, Step::Sweep);
-    run.go();
+    run.schedule(20_000, Step::StartQuery);
+    run.process_steps();
     run.figures
 }
 
@@ -135,22 +135,23 @@
         for number in 0..SERVICES {
             let service = service(number);
             for (place, server) in service.servers.iter().enumerate() {
-                self.places.insert(Arc::clone(&server.address), number * SERVERS + place);
+                self.servers_by_address
+                    .insert(Arc::clone(&server.address), number * SERVERS_PER_SERVICE + place);
             }
             view.insert(service);
         }
         self.handle(Event::View(Arc::new(view)));
     }
 
-    fn at(&mut self, delay: u64, step: Step) {
+    fn schedule(&mut self, delay: u64, step: Step) {
         self.sequence += 1;
         self.steps.push(Reverse((self.now + delay, self.sequence, step)));
     }
 
-    fn go(&mut self) {
+    fn process_steps(&mut self) {
         while let Some(Reverse((at, _, step))) = self.steps.pop() {
             self.now = at;
-            let finished = self.started > self.plan.queries && self.sweeps.is_empty();
+            let finished = self.started > self.plan.queries && self.open_queries.is_empty();
             if finished {
                 break;
             }
@@ -160,66 +161,67 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Sweep => self.sweep(),
+            Step::StartQuery => self.start_query(),
             Step::Tick => self.handle(Event::Tick),
             Step::Ready(lane) if self.lanes.contains_key(&lane) => self.handle(Event::Opened(lane)),
             Step::Ready(_) => {}
-            Step::Reach(call) => self.reach(call),
-            Step::Done(call) => self.done(call, Step::Answer(call)),
-            Step::Cancel(call) => self.done(call, Step::Withdrawn(call)),
+            Step::Arrive(call) => self.arrive(call),
+            Step::Complete(call) => self.end_at_server(call, Step::Answer(call)),
+            Step::Cancel(call) => self.end_at_server(call, Step::Withdrawn(call)),
             Step::Answer(call) => self.end(call, answer),
             Step::Shed(call) => self.end(call, |request| refusal(request, Reason::TargetShed)),
             Step::Withdrawn(call) => self.end(call, |request| refusal(request, Reason::Cancelled)),
         }
     }
 
-    /// Starts a query and plans the next one.
-    fn sweep(&mut self) {
+    /// Starts a query and schedules the next one.
+    fn start_query(&mut self) {
         if self.started > self.plan.queries {
             return;
         }
         self.started += 1;
         let query = self.started;
-        let place = mix::pick(self.plan.mix, self.random.unit());
+        let place = mix::select_kind(self.plan.mix, self.random.unit());
         let kind = &self.plan.mix[place];
         let first = (self.random.unit() * SERVICES as f64) as usize;
-        let sweep = Sweep { kind: place, started: self.now, left: kind.fan, missing: 0 };
-        self.sweeps.insert(query, sweep);
-        self.figures.portions += kind.fan as u64;
+        let open_query =
+            OpenQuery { kind: place, started: self.now, portions_left: kind.fan_out, missing: 0 };
+        self.open_queries.insert(query, open_query);
+        self.figures.portions += kind.fan_out as u64;
         let event =
             Event::Work { from: peer("entry"), incarnation: 1, work: work(query, kind, first) };
         self.handle(event);
-        let slots = (SERVICES * SERVERS * SLOTS) as f64;
-        let rate = mix::rate(self.plan.mix, self.plan.load * slots / Times::mean());
+        let slots = (SERVICES * SERVERS_PER_SERVICE * SLOTS) as f64;
+        let rate = mix::query_rate(self.plan.mix, self.plan.load * slots / ServiceTimes::mean());
         let gap = self.random.exponential(1.0 / rate);
-        self.at(gap as u64, Step::Sweep);
+        self.schedule(gap as u64, Step::StartQuery);
     }
 
-    fn reach(&mut self, number: u64) {
+    fn arrive(&mut self, number: u64) {
         let server = self.calls[&number].server;
         match self.servers[server].arrive(number) {
-            Arrival::Started => self.start(number),
-            Arrival::Waits => {}
-            Arrival::Shed => self.at(HOP_US, Step::Shed(number)),
+            Arrival::Started => self.start_call(number),
+            Arrival::Queued => {}
+            Arrival::Shed => self.schedule(NETWORK_DELAY_US, Step::Shed(number)),
         }
     }
 
-    fn start(&mut self, number: u64) {
-        let time = self.plan.times.draw(&mut self.random);
-        self.at(time, Step::Done(number));
+    fn start_call(&mut self, number: u64) {
+        let time = self.plan.times.draw_service_us(&mut self.random);
+        self.schedule(time, Step::Complete(number));
     }
 
-    /// A call leaves its server; the next one starts.
-    fn done(&mut self, number: u64, then: Step) {
+    /// Ends a call at its server, which starts the next queued call.
+    fn end_at_server(&mut self, number: u64, next_step: Step) {
         let Some(call) = self.calls.get(&number) else {
             return;
         };
         let Some(next) = self.servers[call.server].end(number) else {
             return;
         };
-        self.at(HOP_US, then);
+        self.schedule(NETWORK_DELAY_US, next_step);
         if let Some(next) = next {
-            self.start(next);
+            self.start_call(next);
         }
     }
 
@@ -227,7 +229,7 @@
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
-        self.numbers.remove(&call.request.id);
+        self.call_numbers.remove(&call.request.id);
         let event = Event::Ended { attempt: call.attempt, outcome: outcome(&call.request) };
         self.handle(event);
     }
@@ -236,37 +238,37 @@
         let mut out = Vec::new();
         let before = std::time::Instant::now();
         self.machine.handle(Instant::from_micros(self.now), event, &mut out);
-        self.figures.core += before.elapsed();
+        self.figures.machine_time += before.elapsed();
         for action in out {
-            self.act(action);
+            self.perform(action);
         }
         if let Some(at) = self.machine.next_wake() {
             let delay = at.as_micros().saturating_sub(self.now);
-            let known =
+            let is_scheduled =
                 self.steps.peek().is_some_and(|Reverse((next, ..))| *next <= self.now + delay);
-            if !known {
-                self.at(delay, Step::Tick);
+            if !is_scheduled {
+                self.schedule(delay, Step::Tick);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Open { lane, address, .. } => {
-                self.lanes.insert(lane, self.places[&address]);
-                self.at(CONNECT_US, Step::Ready(lane));
+                self.lanes.insert(lane, self.servers_by_address[&address]);
+                self.schedule(CONNECT_DELAY_US, Step::Ready(lane));
             }
             Action::Close(lane) => {
                 self.lanes.remove(&lane);
             }
             Action::Send { lane, attempt, request, .. } => self.send(lane, attempt, request),
             Action::Cancel { lane, id } => {
-                self.at(2 * HOP_US, Step::Ready(lane));
-                if let Some(number) = self.numbers.get(&id).copied() {
-                    self.at(HOP_US, Step::Cancel(number));
+                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(lane));
+                if let Some(number) = self.call_numbers.get(&id).copied() {
+                    self.schedule(NETWORK_DELAY_US, Step::Cancel(number));
                 }
             }
-            Action::Probe { lane, .. } => self.at(2 * HOP_US, Step::Ready(lane)),
+            Action::Probe { lane, .. } => self.schedule(2 * NETWORK_DELAY_US, Step::Ready(lane)),
             Action::Reply { reply, .. } => self.reply(&reply),
             Action::Log(_)
             | Action::Pending { .. }
@@ -279,33 +281,33 @@
     }
 
     fn send(&mut self, lane: LaneKey, attempt: AttemptKey, request: target::Request) {
-        self.figures.sends += 1;
+        self.figures.sent_calls += 1;
         self.sequence += 1;
         let number = self.sequence;
         let server = self.lanes[&lane];
-        self.numbers.insert(request.id.clone(), number);
+        self.call_numbers.insert(request.id.clone(), number);
         let call = Call { attempt, server, request };
         self.calls.insert(number, call);
-        self.at(HOP_US, Step::Reach(number));
+        self.schedule(NETWORK_DELAY_US, Step::Arrive(number));
     }
 
     fn reply(&mut self, reply: &wire::Reply) {
-        let Some(sweep) = self.sweeps.get_mut(&reply.query) else {
+        let Some(open_query) = self.open_queries.get_mut(&reply.query) else {
             return;
         };
-        sweep.left -= 1;
-        sweep.missing += usize::from(reply.verdict() != Verdict::Ran);
-        if sweep.left > 0 {
+        open_query.portions_left -= 1;
+        open_query.missing += usize::from(reply.verdict() != Verdict::Ran);
+        if open_query.portions_left > 0 {
             return;
         }
-        let sweep = *sweep;
-        self.sweeps.remove(&reply.query);
-        if reply.query <= WARM_UP {
+        let open_query = *open_query;
+        self.open_queries.remove(&reply.query);
+        if reply.query <= WARMUP_QUERIES {
             return;
         }
-        let tally = &mut self.figures.tallies[sweep.kind];
-        tally.latencies.push((self.now - sweep.started) as f64 / 1000.0);
-        tally.complete += usize::from(sweep.missing == 0);
-        tally.missing += sweep.missing;
+        let tally = &mut self.figures.tallies[open_query.kind];
+        tally.latencies.push((self.now - open_query.started) as f64 / 1000.0);
+        tally.complete += usize::from(open_query.missing == 0);
+        tally.missing += open_query.missing;
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -33,7 +33,7 @@
 pub enum Outcome {
     /// The response was an answer or a refusal.
     Answered {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
         /// Answer without the bodies of its parts, which are checked before they are removed.
         answer: Box<call::Answer>,
@@ -42,7 +42,7 @@
     },
     /// The response body could not be decoded as an answer.
     Undecodable {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
     /// No response: the connection broke, no instance accepted a connection, or the caller's
--- a/crates/load/src/fault.rs
+++ b/crates/load/src/fault.rs
@@ -34,10 +34,10 @@
     Slowdown,
     /// The server accepts requests and never answers them.
     Silent,
-    /// The server has no fault any more.
+    /// All faults of the server are removed.
     Clear,
     /// The next version of an index is published. The servers of the index load it one after
-    /// another, and drop the old version two seconds after the last of them loaded the new one.
+    /// another; two seconds after the last of them, they drop the old version one after another.
     Version,
 }
 
--- a/crates/load/src/layout.rs
+++ b/crates/load/src/layout.rs
@@ -13,9 +13,9 @@
 pub struct Instance {
     /// Unique name of the instance.
     pub name: String,
-    /// Address and port of the HTTP interface for callers.
+    /// IP address and port of the HTTP interface for callers.
     pub address: String,
-    /// IP number and port of its operators' HTTP.
+    /// IP address and port of the HTTP interface for operators.
     pub admin: String,
 }
 
@@ -28,7 +28,7 @@
 /// Process that runs target stand-ins.
 #[derive(Clone, Debug)]
 pub struct Process {
-    /// IP number and port of its operators' HTTP.
+    /// IP address and port of the HTTP interface for operators.
     pub admin: String,
     /// Servers that the process runs.
     pub targets: Vec<standin::Target>,
@@ -43,7 +43,7 @@
     pub instances: Vec<Instance>,
     /// Processes that run target stand-ins.
     pub processes: Vec<Process>,
-    /// Address and port of the platform stand-in.
+    /// IP address and port of the platform stand-in.
     pub platform: String,
     /// Records that the platform publishes at the start.
     pub records: Vec<publication::Record>,
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -110,8 +110,8 @@
 /// Returns the queries per second that the service with the least capacity can process.
 ///
 /// A query costs one call at each service that it asks. If the query asks `fan_out` of `n` shards,
-/// selected uniformly, it asks a service that has `k` of these shards with probability `1 - C(n-k,
-/// fan_out) / C(n, fan_out)`.
+/// selected uniformly, the probability that it asks a service with `k` of these shards is
+/// `1 - C(n-k, fan_out) / C(n, fan_out)`.
 fn queries_per_second(layout: &Layout, shards: &[publication::Shard], fan_out: usize) -> f64 {
     let mut lowest_rate = f64::INFINITY;
     for shard in shards {
