--- a/crates/core/examples/scale/control.rs
+++ b/crates/core/examples/scale/control.rs
@@ -129,10 +129,10 @@
     let first = bench.frame(bench.size.instances - 1);
     bench.handle(Event::Frame(Box::new(first)));
     rows.add(Metric::FirstFrame, milliseconds(bench.cost.time));
-    let all: Vec<Rumour> = (1..bench.size.instances)
+    let rumours: Vec<Rumour> = (1..bench.size.instances)
         .map(|number| rumour(&bench.size, number, Liveness::Alive))
         .collect();
-    let (first, rest) = all.split_at(RUMOURS_PER_FRAME.min(all.len()));
+    let (first, rest) = rumours.split_at(RUMOURS_PER_FRAME.min(rumours.len()));
     bench.cost = Cost::default();
     send_rumours(bench, first.to_vec());
     rows.add(Metric::StartRumours, milliseconds(bench.cost.time));
@@ -282,8 +282,8 @@
     fn lose(&mut self, lost_instances: &[usize]) -> Cost {
         let size = self.bench.size;
         let rumours = |liveness| {
-            let all = lost_instances.iter().map(|&number| rumour(&size, number, liveness));
-            all.collect::<Vec<_>>()
+            let lost_rumours = lost_instances.iter().map(|&number| rumour(&size, number, liveness));
+            lost_rumours.collect::<Vec<_>>()
         };
         let suspect = rumours(Liveness::Suspect);
         let dead = rumours(Liveness::Dead);
--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -18,7 +18,7 @@
 
 const NETWORK_DELAY_US: u64 = 500;
 const CONNECT_DELAY_US: u64 = 6000;
-/// Number of queries at the start of a run, from which the machine learns; the figures exclude them.
+/// Number of queries at the start, from which the machine learns; the figures exclude them.
 const WARMUP_QUERIES: u64 = 1000;
 
 /// Settings of a simulation run.
--- a/crates/load/src/admin.rs
+++ b/crates/load/src/admin.rs
@@ -42,7 +42,7 @@
     pub async fn ledgers(&self, layout: &Layout) -> Result<Vec<standin::Ledger>, Error> {
         let mut ledgers = Vec::new();
         for process in &layout.processes {
-            ledgers.push(self.get(&process.admin, "/admin/ledger").await?);
+            ledgers.push(self.get(&process.admin_address, "/admin/ledger").await?);
         }
         Ok(ledgers)
     }
@@ -55,7 +55,7 @@
             for target in &process.targets {
                 let server = layout::published_server(target);
                 let path = format!("/admin/ledger?server={}&least={}", server.name, u32::MAX);
-                let ledger: standin::Ledger = self.get(&process.admin, &path).await?;
+                let ledger: standin::Ledger = self.get(&process.admin_address, &path).await?;
                 peaks
                     .push(Peak { connections: ledger.peak_connections, limit: server.connections });
             }
--- a/crates/load/src/fault.rs
+++ b/crates/load/src/fault.rs
@@ -114,7 +114,7 @@
             let process =
                 layout.process_of(&fault.name).ok_or_else(|| Error::Unknown(fault.name.clone()))?;
             let fault_request = standin_fault(fault.kind);
-            admin.set_fault(&process.admin, &fault.name, &fault_request).await?;
+            admin.set_fault(&process.admin_address, &fault.name, &fault_request).await?;
         }
     }
     Ok(())
@@ -151,7 +151,7 @@
             server.holdings = holdings(&server, index, versions);
             let fault =
                 standin::Fault { holdings: server.holdings.clone(), ..standin::Fault::default() };
-            admin.set_fault(&process.admin, &server.name, &fault).await?;
+            admin.set_fault(&process.admin_address, &server.name, &fault).await?;
             publish(admin, layout, Body::Server(server)).await?;
             tokio::time::sleep(ROLLOUT_GAP).await;
         }
@@ -164,11 +164,11 @@
     index: &publication::Index,
     versions: &[u64],
 ) -> Vec<publication::Holding> {
-    let others = server.holdings.iter().filter(|holding| holding.index != index.name);
-    let own = versions
+    let other_holdings = server.holdings.iter().filter(|holding| holding.index != index.name);
+    let new_holdings = versions
         .iter()
         .map(|version| publication::Holding { index: index.name.clone(), version: *version });
-    others.cloned().chain(own).collect()
+    other_holdings.cloned().chain(new_holdings).collect()
 }
 
 async fn publish(admin: &Admin, layout: &Layout, body: Body) -> Result<(), Error> {
--- a/crates/load/src/layout.rs
+++ b/crates/load/src/layout.rs
@@ -16,12 +16,16 @@
     /// IP address and port of the HTTP interface for callers.
     pub address: String,
     /// IP address and port of the HTTP interface for operators.
-    pub admin: String,
+    pub admin_address: String,
 }
 
 impl From<standin::Member> for Instance {
     fn from(member: standin::Member) -> Self {
-        Self { name: member.name, address: member.caller_address, admin: member.admin_address }
+        Self {
+            name: member.name,
+            address: member.caller_address,
+            admin_address: member.admin_address,
+        }
     }
 }
 
@@ -29,7 +33,7 @@
 #[derive(Clone, Debug)]
 pub struct Process {
     /// IP address and port of the HTTP interface for operators.
-    pub admin: String,
+    pub admin_address: String,
     /// Servers that the process runs.
     pub targets: Vec<standin::Target>,
 }
@@ -118,7 +122,10 @@
     let mut processes = Vec::new();
     for process in listed {
         let settings: standin::Targets = read_json(&folder.join(&process.file))?;
-        processes.push(Process { admin: process.admin_address.clone(), targets: settings.targets });
+        processes.push(Process {
+            admin_address: process.admin_address.clone(),
+            targets: settings.targets,
+        });
     }
     Ok(processes)
 }
--- a/crates/load/src/ready.rs
+++ b/crates/load/src/ready.rs
@@ -18,7 +18,7 @@
     let layout = Layout::read(run_file)?;
     let mut urls = vec![format!("http://{}/admin/counts", layout.platform)];
     for process in &layout.processes {
-        urls.push(format!("http://{}/admin/ledger", process.admin));
+        urls.push(format!("http://{}/admin/ledger", process.admin_address));
     }
     for instance in &layout.instances {
         urls.push(format!("http://{}/ready", instance.address));
--- a/crates/load/src/upkeep.rs
+++ b/crates/load/src/upkeep.rs
@@ -64,7 +64,7 @@
         .instances
         .iter()
         .zip(&options.processes)
-        .map(|(instance, process_id)| Process::new(*process_id, &instance.admin))
+        .map(|(instance, process_id)| Process::new(*process_id, &instance.admin_address))
         .collect();
     actix_rt::System::new().block_on(async {
         let records = spread::published(&layout.platform).await?;
--- a/crates/load/src/upkeep/process.rs
+++ b/crates/load/src/upkeep/process.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Process {
     process_id: u32,
-    admin: String,
+    admin_address: String,
 }
 
 /// Counters of one instance at one point in time.
@@ -56,12 +56,12 @@
 }
 
 impl Process {
-    pub(super) fn new(process_id: u32, admin: &str) -> Self {
-        Self { process_id, admin: admin.to_owned() }
+    pub(super) fn new(process_id: u32, admin_address: &str) -> Self {
+        Self { process_id, admin_address: admin_address.to_owned() }
     }
 
     async fn sample(&self, client: &Admin) -> Result<Sample, Error> {
-        let metrics = client.text(&self.admin, "/metrics").await?;
+        let metrics = client.text(&self.admin_address, "/metrics").await?;
         let control = |name: &str| metric_sum(&metrics, name, "part=\"control\"");
         Ok(Sample {
             cpu_seconds: self.cpu_seconds()?,
--- a/crates/load/src/upkeep/spread.rs
+++ b/crates/load/src/upkeep/spread.rs
@@ -73,7 +73,8 @@
             let start = Instant::now();
             let revision = self.publish_change(number).await?;
             for instance in &layout.instances {
-                self.wait_for_revision(&instance.admin, revision, start + CHANGE_TIMEOUT).await?;
+                self.wait_for_revision(&instance.admin_address, revision, start + CHANGE_TIMEOUT)
+                    .await?;
             }
             times.push(start.elapsed().as_secs_f64() * 1000.0);
         }
@@ -100,17 +101,17 @@
     /// Waits until an instance has applied the revision.
     async fn wait_for_revision(
         &self,
-        admin: &str,
+        admin_address: &str,
         revision: u64,
         deadline: Instant,
     ) -> Result<(), Error> {
         loop {
-            let text = self.client.text(admin, "/revision").await?;
+            let text = self.client.text(admin_address, "/revision").await?;
             if text.trim().parse::<u64>().is_ok_and(|applied| applied >= revision) {
                 return Ok(());
             }
             if Instant::now() > deadline {
-                return Err(Error::Admin(admin.to_owned(), format!("still at {text}")));
+                return Err(Error::Admin(admin_address.to_owned(), format!("still at {text}")));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
--- a/crates/load/src/upkeep/takeover.rs
+++ b/crates/load/src/upkeep/takeover.rs
@@ -45,15 +45,19 @@
     };
     let client = Admin::default();
     let observer = &layout.instances[0];
-    let owned = services_owned_by(&client, &observer.admin, &killed_instance.name).await?;
+    let owned = services_owned_by(&client, &observer.admin_address, &killed_instance.name).await?;
     let id = i32::try_from(*id).ok().and_then(Pid::from_raw);
     let killed = id.map(|id| kill_process(id, Signal::KILL));
     if !matches!(killed, Some(Ok(()))) {
         return Err(Error::Unknown(format!("process of {}", killed_instance.name)));
     }
     let start = Instant::now();
-    let owner_change =
-        wait_for_owner_change(client, observer.admin.clone(), killed_instance.name.clone(), start);
+    let owner_change = wait_for_owner_change(
+        client,
+        observer.admin_address.clone(),
+        killed_instance.name.clone(),
+        start,
+    );
     let owner_change = actix_rt::spawn(owner_change);
     let mut queries = Vec::new();
     let shards = shards(layout, &owned);
@@ -84,25 +88,28 @@
     Ok(takeover)
 }
 
-/// Returns the services that `owner` owns according to the instance with the operator address
-/// `admin`.
-async fn services_owned_by(client: &Admin, admin: &str, owner: &str) -> Result<Vec<String>, Error> {
-    let status: status::Instance = client.get(admin, "/status").await?;
+/// Returns the services that `owner` owns according to the instance at `admin_address`.
+async fn services_owned_by(
+    client: &Admin,
+    admin_address: &str,
+    owner: &str,
+) -> Result<Vec<String>, Error> {
+    let status: status::Instance = client.get(admin_address, "/status").await?;
     let owned = status.services.into_iter().filter(|service| service.owner == owner);
     Ok(owned.map(|service| service.name).collect())
 }
 
-/// Returns the milliseconds from `start` until the instance at `admin` reports `old_owner` as the
-/// owner of no service.
+/// Returns the milliseconds from `start` until the instance at `admin_address` reports `old_owner`
+/// as the owner of no service.
 async fn wait_for_owner_change(
     client: Admin,
-    admin: String,
+    admin_address: String,
     old_owner: String,
     start: Instant,
 ) -> Result<f64, Error> {
-    while !services_owned_by(&client, &admin, &old_owner).await?.is_empty() {
+    while !services_owned_by(&client, &admin_address, &old_owner).await?.is_empty() {
         if start.elapsed() > OWNER_CHANGE_TIMEOUT {
-            return Err(Error::Admin(admin, format!("still names {old_owner}")));
+            return Err(Error::Admin(admin_address, format!("still names {old_owner}")));
         }
         tokio::time::sleep(QUERY_INTERVAL).await;
     }
--- a/crates/load/tests/plan.rs
+++ b/crates/load/tests/plan.rs
@@ -90,14 +90,16 @@
     assert_ne!(first, schedule::draw_arrivals(&plans, 0.7, length, 8));
     assert!(first.is_sorted_by_key(|arrival| arrival.start_offset));
     for (class, plan) in plans.iter().enumerate() {
-        let own: Vec<_> = first.iter().filter(|arrival| arrival.class == class).collect();
+        let class_arrivals: Vec<_> =
+            first.iter().filter(|arrival| arrival.class == class).collect();
         let expected = plan.rate * 0.7 * 60.0;
         // The bound is six standard deviations of a Poisson-distributed count.
-        assert!((own.len() as f64 - expected).abs() < 6.0 * expected.sqrt(), "{class}");
-        assert!(own.iter().all(|arrival| arrival.shards.len() == plan.fan_out));
-        let gaps =
-            own.windows(2).map(|pair| (pair[1].start_offset - pair[0].start_offset).as_secs_f64());
-        let mean_square = gaps.map(|gap| gap * gap).sum::<f64>() / own.len() as f64;
+        assert!((class_arrivals.len() as f64 - expected).abs() < 6.0 * expected.sqrt(), "{class}");
+        assert!(class_arrivals.iter().all(|arrival| arrival.shards.len() == plan.fan_out));
+        let gaps = class_arrivals
+            .windows(2)
+            .map(|pair| (pair[1].start_offset - pair[0].start_offset).as_secs_f64());
+        let mean_square = gaps.map(|gap| gap * gap).sum::<f64>() / class_arrivals.len() as f64;
         // The second moment of exponentially distributed gaps is twice the square of their mean.
         let moment = mean_square * (plan.rate * 0.7).powi(2);
         assert!((1.6..2.4).contains(&moment), "{class}: {moment}");
--- a/crates/load/tests/session.rs
+++ b/crates/load/tests/session.rs
@@ -69,11 +69,11 @@
 fn queries_are_sent_on_schedule_without_waiting_for_answers() {
     let records = send(&[Behaviour::AnswerAfter(QUERIES)], false);
     assert_eq!(records.len() as u64, QUERIES);
-    let last = QUERY_INTERVAL * (QUERIES as u32 - 1);
+    let last_offset = QUERY_INTERVAL * (QUERIES as u32 - 1);
     for record in &records {
         assert_eq!(mistakes(record), []);
         // The latency runs from the scheduled time until an answer that comes after the last query.
-        assert!(record.latency + record.start_offset >= last, "{record:?}");
+        assert!(record.latency + record.start_offset >= last_offset, "{record:?}");
     }
 }
 
