--- a/crates/schema/src/bounds.rs
+++ b/crates/schema/src/bounds.rs
@@ -1,28 +1,30 @@
-//! Bounds on sizes and counts that every decoder and validation holds to.
+//! Limits on sizes and counts that decoders and validation enforce.
 
-/// Version of the messages between instances.
+/// Version of the protocol between instances.
 pub const PROTOCOL: u32 = 1;
-/// Bytes in a caller's request body.
+/// Maximum size of the body of a caller's request, in bytes.
 pub const REQUEST_BYTES: usize = 128 * 1024;
-/// Bytes in a request key.
+/// Maximum length of a request key, in bytes.
 pub const KEY_BYTES: usize = 128;
-/// Bytes in a request's payload.
+/// Maximum size of the payload of a request, in bytes.
 pub const PAYLOAD_BYTES: usize = 64 * 1024;
-/// Bytes in a name: service, server, instance, zone, index, shard, operation.
+/// Maximum length of the name of a service, server, instance, zone, index, shard or operation, in
+/// bytes.
 pub const NAME_BYTES: usize = 128;
-/// Shards in one index.
+/// Maximum number of shards in one index.
 pub const SHARDS: usize = 4096;
-/// Longest deadline a caller may ask for, in milliseconds.
+/// Longest deadline that a caller may request, in milliseconds.
 pub const DEADLINE_MS: u32 = 60_000;
-/// Bytes in one frame between instances.
+/// Maximum size of one frame of the protocol between instances, in bytes.
 pub const FRAME_BYTES: usize = 4 * 1024 * 1024;
-/// Bytes in one published value.
+/// Maximum size of one published record, in bytes.
 pub const RECORD_BYTES: usize = 1024 * 1024;
-/// Bytes in a target's answer.
+/// Maximum size of a target's answer, in bytes.
 pub const ANSWER_BYTES: usize = 1024 * 1024;
-/// Operations in a catalogue entry.
+/// Maximum number of operations in a catalogue entry.
 pub const OPERATIONS: usize = 256;
-/// Requests in a service's queue.
+/// Maximum length of a service's queue, in requests.
 pub const QUEUE: u32 = 100_000;
-/// Extra calls per hundred first calls.
+/// Highest allowed setting for a service's extra calls (calls beyond the first one of a request),
+/// per 100 first calls.
 pub const EXTRA_PERCENT: u32 = 100;
--- a/crates/schema/src/check.rs
+++ b/crates/schema/src/check.rs
@@ -1,7 +1,8 @@
 //! Validation of published records.
 //!
-//! A record that fails is refused alone; the message names the field, the value and what is
-//! allowed, so that an operator can mend it without reading code.
+//! Each record is checked separately: an invalid record does not affect the others. The error
+//! message names the field, its value and the allowed values, so that an operator can correct the
+//! record without reading the code.
 
 mod record;
 
@@ -9,20 +10,20 @@
 
 pub use record::record;
 
-/// Why a record is refused.
+/// Reason why a published record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[derive(Display)]
 pub enum Error {
     /// {field}: is missing
     Missing {
-        /// Path of the field.
+        /// Path of the invalid field, such as `server.holdings[0].index`.
         field: String,
     },
     /// {field}: {value} is outside {low} to {high}
     Range {
-        /// Path of the field.
+        /// Path of the invalid field, such as `server.holdings[0].index`.
         field: String,
-        /// What it holds.
+        /// Value of the field.
         value: u64,
         /// Lowest allowed value.
         low: u64,
@@ -31,27 +32,27 @@
     },
     /// {field}: "{value}" is not {allowed}
     Text {
-        /// Path of the field.
+        /// Path of the invalid field, such as `server.holdings[0].index`.
         field: String,
-        /// What it holds, shortened.
+        /// Value of the field, truncated.
         value: String,
-        /// What is allowed.
+        /// Description of the allowed values, as it appears in the message.
         allowed: &'static str,
     },
     /// {field}: {value} is not one of {allowed}
     Choice {
-        /// Path of the field.
+        /// Path of the invalid field, such as `server.holdings[0].index`.
         field: String,
-        /// The number it holds.
+        /// Number in the enumeration field.
         value: i32,
-        /// Names of the allowed values.
+        /// Names of the allowed enumeration values, as they appear in the message.
         allowed: &'static str,
     },
     /// {field}: "{value}" stands twice
     Duplicate {
-        /// Path of the list.
+        /// Path of the list that contains a value more than once.
         field: String,
-        /// The repeated value.
+        /// Value that occurs more than once, truncated.
         value: String,
     },
 }
--- a/crates/schema/src/check/record.rs
+++ b/crates/schema/src/check/record.rs
@@ -1,4 +1,4 @@
-//! Checks of each kind of record.
+//! Checks of the fields of each kind of published record.
 
 mod routing;
 
@@ -12,66 +12,74 @@
     Holding, Index, Instance, Kind, Record, Server, Shard, State, Tombstone, record::Body,
 };
 
-/// Bytes of a bad value that a message repeats.
-const SHOWN_BYTES: usize = 64;
-/// Slots of one server.
-const SLOTS: u64 = 10_000;
-/// Connections of one server. At least 2: one is the reserve that covers instances whose views
-/// differ, so that a limit of 1 could not be held.
-const CONNECTIONS: (u64, u64) = (2, 100_000);
-/// Requests of one service at targets at once.
-const IN_FLIGHT: u64 = 1_000_000;
-/// Index versions one server serves.
-const HOLDINGS: usize = 4096;
-
-type Outcome = Result<(), Error>;
-
-/// Checks a published record by itself. Services that it names may be published later and are not
-/// looked up.
-pub fn record(record: &Record) -> Outcome {
-    range("revision", record.revision, 1, u64::MAX)?;
+/// Maximum number of characters of an invalid value that an error message repeats.
+const MAX_SHOWN_CHARS: usize = 64;
+/// Maximum number of slots (concurrent requests) of one server.
+const MAX_SLOTS: u64 = 10_000;
+/// Lowest and highest connection limit of one server.
+///
+/// The minimum is 2 because one connection is a reserve for the time in which the instances' views
+/// of the fleet differ. With a limit of 1 there would be no reserve, and the instances could not
+/// keep to the limit.
+const CONNECTIONS_RANGE: (u64, u64) = (2, 100_000);
+/// Maximum number of requests of one service that may be in flight to its targets at once.
+const MAX_IN_FLIGHT: u64 = 1_000_000;
+/// Maximum number of index versions that one server may serve.
+const MAX_HOLDINGS: usize = 4096;
+
+type CheckResult = Result<(), Error>;
+
+/// Checks the fields of one published record.
+///
+/// Services that the record names are not looked up, because they may be published later.
+///
+/// # Errors
+///
+/// [`Error`] describes the first invalid field.
+pub fn record(record: &Record) -> CheckResult {
+    check_range("revision", record.revision, 1, u64::MAX)?;
     match &record.body {
-        None => Err(missing("body")),
-        Some(Body::Entry(body)) => entry(body),
-        Some(Body::Index(body)) => index(body),
-        Some(Body::Server(body)) => server(body),
-        Some(Body::Instance(body)) => instance(body),
-        Some(Body::Tombstone(body)) => tombstone(body),
-        Some(Body::Routing(body)) => routing::routing(body),
-        Some(Body::Evacuation(body)) => name("evacuation.zone", &body.zone),
+        None => Err(missing_field_error("body")),
+        Some(Body::Entry(body)) => check_entry(body),
+        Some(Body::Index(body)) => check_index(body),
+        Some(Body::Server(body)) => check_server(body),
+        Some(Body::Instance(body)) => check_instance(body),
+        Some(Body::Tombstone(body)) => check_tombstone(body),
+        Some(Body::Routing(body)) => routing::check_routing(body),
+        Some(Body::Evacuation(body)) => check_name("evacuation.zone", &body.zone),
     }
 }
 
-fn entry(entry: &Entry) -> Outcome {
-    name("entry.service", &entry.service)?;
-    name("entry.owner", &entry.owner)?;
-    urgency("entry.urgency", entry.urgency, false)?;
-    let missing_limits = || missing("entry.limits");
-    limits(entry.limits.as_ref().ok_or_else(missing_limits)?)?;
-    count("entry.operations", entry.operations.len(), bounds::OPERATIONS)?;
+fn check_entry(entry: &Entry) -> CheckResult {
+    check_name("entry.service", &entry.service)?;
+    check_name("entry.owner", &entry.owner)?;
+    check_urgency("entry.urgency", entry.urgency, false)?;
+    let missing_limits = || missing_field_error("entry.limits");
+    check_limits(entry.limits.as_ref().ok_or_else(missing_limits)?)?;
+    check_count("entry.operations", entry.operations.len(), bounds::OPERATIONS)?;
     let names = entry.operations.iter().map(|operation| operation.name.as_str());
-    unique("entry.operations", names)?;
-    for (at, item) in entry.operations.iter().enumerate() {
-        operation(&format!("entry.operations[{at}]"), item)?;
+    check_unique("entry.operations", names)?;
+    for (position, operation) in entry.operations.iter().enumerate() {
+        check_operation(&format!("entry.operations[{position}]"), operation)?;
     }
     Ok(())
 }
 
-fn limits(limits: &Limits) -> Outcome {
-    range("entry.limits.in_flight", limits.in_flight.into(), 0, IN_FLIGHT)?;
-    range("entry.limits.queue", limits.queue.into(), 1, bounds::QUEUE.into())?;
-    let extra = u64::from(limits.extra_percent);
-    range("entry.limits.extra_percent", extra, 0, bounds::EXTRA_PERCENT.into())?;
+fn check_limits(limits: &Limits) -> CheckResult {
+    check_range("entry.limits.in_flight", limits.in_flight.into(), 0, MAX_IN_FLIGHT)?;
+    check_range("entry.limits.queue", limits.queue.into(), 1, bounds::QUEUE.into())?;
+    let extra_percent = u64::from(limits.extra_percent);
+    check_range("entry.limits.extra_percent", extra_percent, 0, bounds::EXTRA_PERCENT.into())?;
     if limits.connections == 0 {
         return Ok(());
     }
     let connections = u64::from(limits.connections);
-    range("entry.limits.connections", connections, CONNECTIONS.0, CONNECTIONS.1)
+    check_range("entry.limits.connections", connections, CONNECTIONS_RANGE.0, CONNECTIONS_RANGE.1)
 }
 
-fn operation(path: &str, operation: &Operation) -> Outcome {
-    name(&format!("{path}.name"), &operation.name)?;
-    urgency(&format!("{path}.urgency"), operation.urgency, true)?;
+fn check_operation(path: &str, operation: &Operation) -> CheckResult {
+    check_name(&format!("{path}.name"), &operation.name)?;
+    check_urgency(&format!("{path}.urgency"), operation.urgency, true)?;
     if Preference::try_from(operation.preference).is_err() {
         return Err(Error::Choice {
             field: format!("{path}.preference"),
@@ -79,11 +87,11 @@
             allowed: "PREFERENCE_TIMELY, PREFERENCE_COMPLETE",
         });
     }
-    let deadline = u64::from(operation.deadline_ms);
-    range(&format!("{path}.deadline_ms"), deadline, 1, bounds::DEADLINE_MS.into())
+    let deadline_ms = u64::from(operation.deadline_ms);
+    check_range(&format!("{path}.deadline_ms"), deadline_ms, 1, bounds::DEADLINE_MS.into())
 }
 
-fn urgency(field: &str, value: i32, optional: bool) -> Outcome {
+fn check_urgency(field: &str, value: i32, optional: bool) -> CheckResult {
     match Urgency::try_from(value) {
         Ok(Urgency::Unspecified) if !optional => {}
         Ok(_) => return Ok(()),
@@ -96,37 +104,37 @@
     })
 }
 
-fn index(index: &Index) -> Outcome {
-    name("index.name", &index.name)?;
-    range("index.version", index.version, 1, u64::MAX)?;
-    count("index.shards", index.shards.len(), bounds::SHARDS)?;
-    unique("index.shards", index.shards.iter().map(|shard| shard.name.as_str()))?;
-    for (at, item) in index.shards.iter().enumerate() {
-        shard(&format!("index.shards[{at}]"), item)?;
+fn check_index(index: &Index) -> CheckResult {
+    check_name("index.name", &index.name)?;
+    check_range("index.version", index.version, 1, u64::MAX)?;
+    check_count("index.shards", index.shards.len(), bounds::SHARDS)?;
+    check_unique("index.shards", index.shards.iter().map(|shard| shard.name.as_str()))?;
+    for (position, shard) in index.shards.iter().enumerate() {
+        check_shard(&format!("index.shards[{position}]"), shard)?;
     }
     Ok(())
 }
 
-fn shard(path: &str, shard: &Shard) -> Outcome {
-    name(&format!("{path}.name"), &shard.name)?;
-    name(&format!("{path}.service"), &shard.service)
+fn check_shard(path: &str, shard: &Shard) -> CheckResult {
+    check_name(&format!("{path}.name"), &shard.name)?;
+    check_name(&format!("{path}.service"), &shard.service)
 }
 
-fn server(server: &Server) -> Outcome {
-    name("server.name", &server.name)?;
-    name("server.service", &server.service)?;
-    name("server.zone", &server.zone)?;
-    address("server.address", &server.address)?;
-    state("server.state", server.state)?;
-    range("server.slots", server.slots.into(), 1, SLOTS)?;
+fn check_server(server: &Server) -> CheckResult {
+    check_name("server.name", &server.name)?;
+    check_name("server.service", &server.service)?;
+    check_name("server.zone", &server.zone)?;
+    check_address("server.address", &server.address)?;
+    check_state("server.state", server.state)?;
+    check_range("server.slots", server.slots.into(), 1, MAX_SLOTS)?;
     let connections = u64::from(server.connections);
-    range("server.connections", connections, CONNECTIONS.0, CONNECTIONS.1)?;
-    range("server.holdings", server.holdings.len() as u64, 0, HOLDINGS as u64)?;
+    check_range("server.connections", connections, CONNECTIONS_RANGE.0, CONNECTIONS_RANGE.1)?;
+    check_range("server.holdings", server.holdings.len() as u64, 0, MAX_HOLDINGS as u64)?;
     let keys: Vec<String> = server.holdings.iter().map(holding_key).collect();
-    unique("server.holdings", keys.iter().map(String::as_str))?;
-    for (at, item) in server.holdings.iter().enumerate() {
-        name(&format!("server.holdings[{at}].index"), &item.index)?;
-        range(&format!("server.holdings[{at}].version"), item.version, 1, u64::MAX)?;
+    check_unique("server.holdings", keys.iter().map(String::as_str))?;
+    for (position, holding) in server.holdings.iter().enumerate() {
+        check_name(&format!("server.holdings[{position}].index"), &holding.index)?;
+        check_range(&format!("server.holdings[{position}].version"), holding.version, 1, u64::MAX)?;
     }
     Ok(())
 }
@@ -135,14 +143,14 @@
     format!("{}@{}", holding.index, holding.version)
 }
 
-fn instance(instance: &Instance) -> Outcome {
-    name("instance.name", &instance.name)?;
-    name("instance.zone", &instance.zone)?;
-    address("instance.peer_address", &instance.peer_address)?;
-    state("instance.state", instance.state)
+fn check_instance(instance: &Instance) -> CheckResult {
+    check_name("instance.name", &instance.name)?;
+    check_name("instance.zone", &instance.zone)?;
+    check_address("instance.peer_address", &instance.peer_address)?;
+    check_state("instance.state", instance.state)
 }
 
-fn tombstone(tombstone: &Tombstone) -> Outcome {
+fn check_tombstone(tombstone: &Tombstone) -> CheckResult {
     match Kind::try_from(tombstone.kind) {
         Ok(Kind::Unspecified) | Err(_) => Err(Error::Choice {
             field: "tombstone.kind".to_owned(),
@@ -150,23 +158,23 @@
             allowed: "KIND_ENTRY, KIND_INDEX, KIND_SERVER, KIND_INSTANCE, KIND_ROUTING, \
                       KIND_EVACUATION",
         }),
-        Ok(Kind::Index) => versioned("tombstone.name", &tombstone.name),
+        Ok(Kind::Index) => check_index_key("tombstone.name", &tombstone.name),
         Ok(Kind::Routing) if tombstone.name.is_empty() => Ok(()),
-        Ok(Kind::Routing) => Err(text("tombstone.name", &tombstone.name, "empty")),
-        Ok(_) => name("tombstone.name", &tombstone.name),
+        Ok(Kind::Routing) => Err(invalid_text_error("tombstone.name", &tombstone.name, "empty")),
+        Ok(_) => check_name("tombstone.name", &tombstone.name),
     }
 }
 
-/// An index key: name, `@`, version.
-fn versioned(field: &str, value: &str) -> Outcome {
-    let parts = value.rsplit_once('@');
-    match parts.map(|(index, version)| (index, version.parse::<u64>())) {
-        Some((index, Ok(1..))) => name(field, index),
-        _ => Err(text(field, value, "an index name, @ and a version from 1")),
+/// Checks an index key of the form `NAME@VERSION` with a version of at least 1.
+fn check_index_key(field: &str, value: &str) -> CheckResult {
+    let key_parts = value.rsplit_once('@');
+    match key_parts.map(|(index, version)| (index, version.parse::<u64>())) {
+        Some((index, Ok(1..))) => check_name(field, index),
+        _ => Err(invalid_text_error(field, value, "an index name, @ and a version from 1")),
     }
 }
 
-fn state(field: &str, value: i32) -> Outcome {
+fn check_state(field: &str, value: i32) -> CheckResult {
     match State::try_from(value) {
         Ok(State::Live | State::Leaving) => Ok(()),
         _ => Err(Error::Choice {
@@ -177,54 +185,54 @@
     }
 }
 
-fn name(field: &str, value: &str) -> Outcome {
+fn check_name(field: &str, value: &str) -> CheckResult {
     if value.is_empty() {
-        return Err(missing(field));
+        return Err(missing_field_error(field));
     }
-    let fits = value.len() <= bounds::NAME_BYTES;
-    if fits && !value.chars().any(|c| c.is_control() || c == '@') {
+    let length_allowed = value.len() <= bounds::NAME_BYTES;
+    if length_allowed && !value.chars().any(|c| c.is_control() || c == '@') {
         return Ok(());
     }
     let allowed = "a name of 1 to 128 bytes without control characters and @";
-    Err(text(field, value, allowed))
+    Err(invalid_text_error(field, value, allowed))
 }
 
-fn address(field: &str, value: &str) -> Outcome {
+fn check_address(field: &str, value: &str) -> CheckResult {
     match value.parse::<SocketAddr>() {
         Ok(address) if address.port() > 0 => Ok(()),
-        _ => Err(text(field, value, "an IP number and port")),
+        _ => Err(invalid_text_error(field, value, "an IP number and port")),
     }
 }
 
-fn range(field: &str, value: u64, low: u64, high: u64) -> Outcome {
+fn check_range(field: &str, value: u64, low: u64, high: u64) -> CheckResult {
     if (low..=high).contains(&value) {
         return Ok(());
     }
     Err(Error::Range { field: field.to_owned(), value, low, high })
 }
 
-fn count(field: &str, value: usize, high: usize) -> Outcome {
-    range(field, value as u64, 1, high as u64)
+fn check_count(field: &str, value: usize, high: usize) -> CheckResult {
+    check_range(field, value as u64, 1, high as u64)
 }
 
-fn unique<'a>(field: &str, values: impl Iterator<Item = &'a str>) -> Outcome {
+fn check_unique<'a>(field: &str, values: impl Iterator<Item = &'a str>) -> CheckResult {
     let mut seen = BTreeSet::new();
     for value in values {
         if !seen.insert(value) {
-            return Err(Error::Duplicate { field: field.to_owned(), value: shown(value) });
+            return Err(Error::Duplicate { field: field.to_owned(), value: truncated(value) });
         }
     }
     Ok(())
 }
 
-fn missing(field: &str) -> Error {
+fn missing_field_error(field: &str) -> Error {
     Error::Missing { field: field.to_owned() }
 }
 
-fn text(field: &str, value: &str, allowed: &'static str) -> Error {
-    Error::Text { field: field.to_owned(), value: shown(value), allowed }
+fn invalid_text_error(field: &str, value: &str, allowed: &'static str) -> Error {
+    Error::Text { field: field.to_owned(), value: truncated(value), allowed }
 }
 
-fn shown(value: &str) -> String {
-    value.chars().take(SHOWN_BYTES).collect()
+fn truncated(value: &str) -> String {
+    value.chars().take(MAX_SHOWN_CHARS).collect()
 }
--- a/crates/schema/src/check/record/routing.rs
+++ b/crates/schema/src/check/record/routing.rs
@@ -1,92 +1,110 @@
-//! Checks of routes and what goes with them.
+//! Checks of a routing record: its routes, catalogue entries and connection bounds.
 
 use std::collections::BTreeSet;
 
-use super::{Outcome, count, entry, missing, name, range, text, unique, urgency};
+use super::{
+    CheckResult, check_count, check_entry, check_name, check_range, check_unique, check_urgency,
+    invalid_text_error, missing_field_error,
+};
 use crate::bounds;
 use crate::publication::{Bounds, Branch, Route, Routing};
 
-/// Routes of one version.
-const ROUTES: usize = 10_000;
-/// Servers that a message may be sent to.
-const ATTEMPTS: u64 = 100;
+/// Maximum number of routes in one routing record.
+const MAX_ROUTES: usize = 10_000;
+/// Maximum number of servers to which one message may be sent.
+const MAX_ATTEMPTS: u64 = 100;
 
-/// Checks one version of the routes by itself.
-pub(super) fn routing(routing: &Routing) -> Outcome {
-    range("routing.version", routing.version, 1, u64::MAX)?;
-    range("routing.routes", routing.routes.len() as u64, 0, ROUTES as u64)?;
-    routing.entries.iter().try_for_each(entry)?;
+/// Checks the fields of one routing record.
+///
+/// Services that routes name must have a catalogue entry in the same record.
+pub(super) fn check_routing(routing: &Routing) -> CheckResult {
+    check_range("routing.version", routing.version, 1, u64::MAX)?;
+    check_range("routing.routes", routing.routes.len() as u64, 0, MAX_ROUTES as u64)?;
+    routing.entries.iter().try_for_each(check_entry)?;
     let services = routing.entries.iter().map(|entry| entry.service.as_str());
-    unique("routing.entries", services.clone())?;
+    check_unique("routing.entries", services.clone())?;
     let services: BTreeSet<&str> = services.collect();
-    for (at, item) in routing.routes.iter().enumerate() {
-        route(&format!("routing.routes[{at}]"), item, &services)?;
+    for (position, route) in routing.routes.iter().enumerate() {
+        check_route(&format!("routing.routes[{position}]"), route, &services)?;
     }
-    let places = routing.routes.iter().map(|route| format!("{}{}", route.host, route.prefix));
-    let places: Vec<String> = places.collect();
-    unique("routing.routes", places.iter().map(String::as_str))?;
-    limits(&routing.bounds.ok_or_else(|| missing("routing.bounds"))?)
+    let host_prefixes =
+        routing.routes.iter().map(|route| format!("{}{}", route.host, route.prefix));
+    let host_prefixes: Vec<String> = host_prefixes.collect();
+    check_unique("routing.routes", host_prefixes.iter().map(String::as_str))?;
+    check_bounds(&routing.bounds.ok_or_else(|| missing_field_error("routing.bounds"))?)
 }
 
-fn route(path: &str, route: &Route, services: &BTreeSet<&str>) -> Outcome {
-    name(&format!("{path}.name"), &route.name)?;
-    name(&format!("{path}.host"), &route.host)?;
+fn check_route(path: &str, route: &Route, services: &BTreeSet<&str>) -> CheckResult {
+    check_name(&format!("{path}.name"), &route.name)?;
+    check_name(&format!("{path}.host"), &route.host)?;
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
         let allowed = "a path that begins and ends with a slash";
-        return Err(text(&format!("{path}.prefix"), &route.prefix, allowed));
+        return Err(invalid_text_error(&format!("{path}.prefix"), &route.prefix, allowed));
     }
-    urgency(&format!("{path}.urgency"), route.urgency, false)?;
-    let timeout = u64::from(route.timeout_ms);
-    range(&format!("{path}.timeout_ms"), timeout, 1, bounds::DEADLINE_MS.into())?;
-    range(&format!("{path}.attempts"), route.attempts.into(), 1, ATTEMPTS)?;
+    check_urgency(&format!("{path}.urgency"), route.urgency, false)?;
+    let timeout_ms = u64::from(route.timeout_ms);
+    check_range(&format!("{path}.timeout_ms"), timeout_ms, 1, bounds::DEADLINE_MS.into())?;
+    check_range(&format!("{path}.attempts"), route.attempts.into(), 1, MAX_ATTEMPTS)?;
     match (route.branches.is_empty(), route.parts.is_empty()) {
-        (true, true) => Err(missing(&format!("{path}.branches"))),
+        (true, true) => Err(missing_field_error(&format!("{path}.branches"))),
         (false, false) => {
             let field = format!("{path}.parts");
-            Err(text(&field, &route.parts[0], "given only where there are no branches"))
+            Err(invalid_text_error(
+                &field,
+                &route.parts[0],
+                "given only where there are no branches",
+            ))
         }
-        (false, true) => branches(path, &route.branches, services),
-        (true, false) => sweep(path, route, services),
+        (false, true) => check_branches(path, &route.branches, services),
+        (true, false) => check_sweep(path, route, services),
     }
 }
 
-fn branches(path: &str, branches: &[Branch], services: &BTreeSet<&str>) -> Outcome {
-    for (at, branch) in branches.iter().enumerate() {
-        let path = format!("{path}.branches[{at}]");
-        known(&format!("{path}.service"), &branch.service, services)?;
+fn check_branches(path: &str, branches: &[Branch], services: &BTreeSet<&str>) -> CheckResult {
+    for (position, branch) in branches.iter().enumerate() {
+        let path = format!("{path}.branches[{position}]");
+        check_service_has_entry(&format!("{path}.service"), &branch.service, services)?;
         if !branch.weight.is_finite() || branch.weight < 0.0 {
             let value = branch.weight.to_string();
-            return Err(text(&format!("{path}.weight"), &value, "a number from 0"));
+            return Err(invalid_text_error(&format!("{path}.weight"), &value, "a number from 0"));
         }
     }
     if branches.iter().all(|branch| branch.weight == 0.0) {
-        return Err(text(&format!("{path}.branches"), "0", "a weight above 0 for one at least"));
+        return Err(invalid_text_error(
+            &format!("{path}.branches"),
+            "0",
+            "a weight above 0 for one at least",
+        ));
     }
     Ok(())
 }
 
-fn sweep(path: &str, route: &Route, services: &BTreeSet<&str>) -> Outcome {
-    count(&format!("{path}.parts"), route.parts.len(), bounds::SHARDS)?;
-    unique(&format!("{path}.parts"), route.parts.iter().map(String::as_str))?;
+fn check_sweep(path: &str, route: &Route, services: &BTreeSet<&str>) -> CheckResult {
+    check_count(&format!("{path}.parts"), route.parts.len(), bounds::SHARDS)?;
+    check_unique(&format!("{path}.parts"), route.parts.iter().map(String::as_str))?;
     for part in &route.parts {
-        known(&format!("{path}.parts"), part, services)?;
+        check_service_has_entry(&format!("{path}.parts"), part, services)?;
     }
     if route.unrepeatable {
-        return Err(text(&format!("{path}.unrepeatable"), "true", "false for a sweep"));
+        return Err(invalid_text_error(
+            &format!("{path}.unrepeatable"),
+            "true",
+            "false for a sweep",
+        ));
     }
-    range(&format!("{path}.top"), route.top.into(), 1, u32::MAX.into())?;
-    range(&format!("{path}.floor_permille"), route.floor_permille.into(), 0, 1000)
+    check_range(&format!("{path}.top"), route.top.into(), 1, u32::MAX.into())?;
+    check_range(&format!("{path}.floor_permille"), route.floor_permille.into(), 0, 1000)
 }
 
-fn known(field: &str, service: &str, services: &BTreeSet<&str>) -> Outcome {
+fn check_service_has_entry(field: &str, service: &str, services: &BTreeSet<&str>) -> CheckResult {
     if services.contains(service) {
         return Ok(());
     }
-    Err(text(field, service, "a service that has an entry in the same version"))
+    Err(invalid_text_error(field, service, "a service that has an entry in the same version"))
 }
 
-fn limits(bounds: &Bounds) -> Outcome {
-    range("routing.bounds.header_bytes", bounds.header_bytes.into(), 1, u32::MAX.into())?;
-    range("routing.bounds.header_ms", bounds.header_ms.into(), 1, u32::MAX.into())?;
-    range("routing.bounds.idle_ms", bounds.idle_ms.into(), 1, u32::MAX.into())
+fn check_bounds(bounds: &Bounds) -> CheckResult {
+    check_range("routing.bounds.header_bytes", bounds.header_bytes.into(), 1, u32::MAX.into())?;
+    check_range("routing.bounds.header_ms", bounds.header_ms.into(), 1, u32::MAX.into())?;
+    check_range("routing.bounds.idle_ms", bounds.idle_ms.into(), 1, u32::MAX.into())
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -1,10 +1,9 @@
-//! Messages, settings and catalogue, generated from the schema in `schema/ladder`, and their
-//! validation.
+//! Types of messages, settings and catalogue entries, and the validation of published records.
 //!
-//! One module for each package of the schema. The generated code is committed; `ladder-codegen`
-//! regenerates it.
+//! The types are generated from the Protocol Buffers schema in `schema/ladder`, one module for each
+//! package of the schema. The generated code is committed; `ladder-codegen` regenerates it.
 
-/// Includes the generated types and JSON mapping of one package.
+/// Declares a module with the generated types and JSON mapping of one schema package.
 macro_rules! package {
     ($(#[$doc:meta])* $name:ident, $types:literal, $json:literal) => {
         $(#[$doc])*
@@ -18,23 +17,23 @@
 }
 
 package!(
-    /// Verdicts and reasons.
+    /// Outcomes of requests: verdicts and reasons.
     outcome, "ladder.outcome.rs", "ladder.outcome.serde.rs"
 );
 package!(
-    /// Catalogue entries.
+    /// Catalogue entries: settings of services and their operations.
     catalogue, "ladder.catalogue.rs", "ladder.catalogue.serde.rs"
 );
 package!(
-    /// What the platform publishes.
+    /// Records that the platform publishes.
     publication, "ladder.publication.rs", "ladder.publication.serde.rs"
 );
 package!(
-    /// The callers' interface.
+    /// Messages of the interface between callers and instances.
     call, "ladder.call.rs", "ladder.call.serde.rs"
 );
 package!(
-    /// The targets' interface.
+    /// Messages of the interface between instances and targets.
     target, "ladder.target.rs", "ladder.target.serde.rs"
 );
 package!(
@@ -42,15 +41,15 @@
     wire, "ladder.wire.rs", "ladder.wire.serde.rs"
 );
 package!(
-    /// Settings of the processes.
+    /// Settings files of the processes.
     settings, "ladder.settings.rs", "ladder.settings.serde.rs"
 );
 package!(
-    /// Settings and control messages of the stand-ins.
+    /// Settings and control messages of the stand-ins (test doubles of platform and targets).
     standin, "ladder.standin.rs", "ladder.standin.serde.rs"
 );
 package!(
-    /// What an instance shows to operators.
+    /// Status that an instance reports to operators.
     status, "ladder.status.rs", "ladder.status.serde.rs"
 );
 
