--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -1,9 +1,9 @@
-//! The text that a target answers for one shard.
+//! Text of a stand-in target's answer for one shard.
 
-/// The body of the part for `shard`: `INDEX@VERSION/SHARD/KEY/PAYLOAD`.
+/// Returns the body of the answer's part for `shard`: `INDEX@VERSION/SHARD/KEY/PAYLOAD`.
 ///
-/// It repeats everything that the target was asked, so that whoever sent the request can tell its
-/// own part from any other request's, shard's or version's.
+/// The body repeats the content of the request, so that the sender can detect a part that belongs
+/// to another request, shard or version.
 pub fn body(index: &str, version: u64, shard: &str, key: &str, payload: &str) -> String {
     format!("{index}@{version}/{shard}/{key}/{payload}")
 }
--- a/crates/standin/src/bin/standin-layout.rs
+++ b/crates/standin/src/bin/standin-layout.rs
@@ -1,4 +1,4 @@
-//! `standin-layout`: writes the settings of a whole run on one machine.
+//! `standin-layout`: writes the settings files of a whole test run on one machine.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 }
 
 fn main() -> ExitCode {
-    let options = options().run();
+    let options = all_options().run();
     match options.layout.write(&options.out) {
         Ok(_) => ExitCode::SUCCESS,
         Err(error) => {
@@ -25,8 +25,8 @@
     }
 }
 
-fn options() -> OptionParser<Options> {
-    let layout = layout();
+fn all_options() -> OptionParser<Options> {
+    let layout = layout_options();
     let out =
         long("out").help("Folder to write to; created when absent").argument::<PathBuf>("DIR");
     construct!(Options { layout, out })
@@ -39,11 +39,11 @@
         )
 }
 
-fn layout() -> impl Parser<Layout> {
+fn layout_options() -> impl Parser<Layout> {
     let user = long("user").help("Whose sizes: porto or bagmati").argument::<User>("USER");
-    let sizes = sizes();
-    let service = service();
-    let strategy = strategy();
+    let sizes = size_options();
+    let service = service_options();
+    let strategy = strategy_options();
     construct!(user, sizes, service, strategy).map(|(user, sizes, service, strategy)| {
         Layout::new(user)
             .instances(sizes.instances)
@@ -58,14 +58,14 @@
     })
 }
 
-struct Sizes {
+struct SizeOptions {
     instances: u32,
     processes: u32,
     scale: f64,
     address: IpAddr,
 }
 
-fn sizes() -> impl Parser<Sizes> {
+fn size_options() -> impl Parser<SizeOptions> {
     let instances = long("instances")
         .help("Instances of the system, 1 to 500")
         .argument("N")
@@ -86,17 +86,17 @@
         .argument("IP")
         .fallback(IpAddr::V4(Ipv4Addr::LOCALHOST))
         .display_fallback();
-    construct!(Sizes { instances, processes, scale, address })
+    construct!(SizeOptions { instances, processes, scale, address })
 }
 
-struct Service {
+struct ServiceOptions {
     straggler_permille: u32,
     service_us: u32,
     cold_ms: u32,
     seed: u64,
 }
 
-fn service() -> impl Parser<Service> {
+fn service_options() -> impl Parser<ServiceOptions> {
     let straggler_permille = long("straggler-permille")
         .help("Requests in a thousand that take ten times as long")
         .argument("P")
@@ -114,30 +114,34 @@
         .display_fallback();
     let seed =
         long("seed").help("Seed of the service times").argument("S").fallback(1).display_fallback();
-    construct!(Service { straggler_permille, service_us, cold_ms, seed })
+    construct!(ServiceOptions { straggler_permille, service_us, cold_ms, seed })
 }
 
-fn strategy() -> impl Parser<Strategy> {
+fn strategy_options() -> impl Parser<Strategy> {
     let placement =
-        choice("placement", "owner|direct", "Who works on a service", |name| match name {
+        enum_option("placement", "owner|direct", "Who works on a service", |name| match name {
             "owner" => Some(Placement::Owner.into()),
             "direct" => Some(Placement::Direct.into()),
             _ => None,
         });
-    let selection =
-        choice("selection", "outcome|round-robin", "How a server is chosen", |name| match name {
+    let selection = enum_option(
+        "selection",
+        "outcome|round-robin",
+        "How a server is chosen",
+        |name| match name {
             "outcome" => Some(Selection::Outcome.into()),
             "round-robin" => Some(Selection::RoundRobin.into()),
             _ => None,
-        });
-    let hedging = choice("hedging", "on|off", "Second copies of slow requests", switch);
-    let queueing = choice("queueing", "on|off", "Queue in front of the servers", switch);
+        },
+    );
+    let hedging = enum_option("hedging", "on|off", "Second copies of slow requests", parse_switch);
+    let queueing = enum_option("queueing", "on|off", "Queue in front of the servers", parse_switch);
     let listing = bpaf::pure(0);
     let gathering = bpaf::pure(0);
     construct!(Strategy { placement, selection, hedging, queueing, listing, gathering })
 }
 
-fn switch(name: &str) -> Option<i32> {
+fn parse_switch(name: &str) -> Option<i32> {
     match name {
         "on" => Some(Switch::On.into()),
         "off" => Some(Switch::Off.into()),
@@ -145,16 +149,18 @@
     }
 }
 
-/// An option with named values; 0, which leaves the choice to the instance, when it is absent.
-fn choice(
+/// Parser of an option with named values. An absent option gives 0: the instance uses its default.
+fn enum_option(
     name: &'static str,
     values: &'static str,
     help: &'static str,
-    read: fn(&str) -> Option<i32>,
+    parse_value: fn(&str) -> Option<i32>,
 ) -> impl Parser<i32> {
     long(name)
         .help(help)
         .argument::<String>(values)
-        .parse(move |value| read(&value).ok_or_else(|| format!("\"{value}\" is not {values}")))
+        .parse(move |value| {
+            parse_value(&value).ok_or_else(|| format!("\"{value}\" is not {values}"))
+        })
         .fallback(0)
 }
--- a/crates/standin/src/bin/standin-platform.rs
+++ b/crates/standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! `standin-platform`: stands in for the platform's configuration service.
+//! `standin-platform`: runs the stand-in for the platform's configuration service.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/standin/src/bin/standin-target.rs
+++ b/crates/standin/src/bin/standin-target.rs
@@ -1,4 +1,4 @@
-//! `standin-target`: stands in for the targets of some services.
+//! `standin-target`: runs stand-ins for the targets of some services.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/standin/src/command.rs
+++ b/crates/standin/src/command.rs
@@ -1,4 +1,4 @@
-//! What the two serving binaries have in common.
+//! Entry point shared by the binaries `standin-target` and `standin-platform`.
 
 use std::path::Path;
 use std::process::ExitCode;
@@ -8,8 +8,10 @@
 
 use crate::settings::{self, Error};
 
-/// Reads the settings file at `path`, starts the stand-in that `start` makes of it and serves until
-/// a signal ends the process. Mistakes go to the standard error, with exit code 2.
+/// Reads the settings file at `path`, starts a stand-in with `start` and serves until a signal
+/// terminates the process.
+///
+/// Invalid settings are reported on the standard error, with exit code 2.
 pub fn run<T, F>(path: &Path, start: F) -> ExitCode
 where
     T: DeserializeOwned,
@@ -17,7 +19,7 @@
 {
     actix_rt::System::new().block_on(async move {
         match settings::load(path).and_then(|settings| start(&settings)) {
-            Ok(server) => served(server.await),
+            Ok(server) => exit_code(server.await),
             Err(error) => {
                 eprintln!("{error}");
                 ExitCode::from(2)
@@ -26,7 +28,7 @@
     })
 }
 
-fn served(result: std::io::Result<()>) -> ExitCode {
+fn exit_code(result: std::io::Result<()>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP shared by the stand-ins: bodies, queries, responses and how connections are served.
+//! HTTP functions shared by the stand-ins: request bodies, query parameters, responses and
+//! connections.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,21 +16,21 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Answer to any request.
+/// HTTP response of a stand-in.
 pub(crate) type Reply = Response<BoxBody>;
 
-/// How long a connection may be idle: longer than any test or experiment, so that it is always the
-/// client that gives connections up.
-const KEEP_ALIVE: Duration = Duration::from_secs(1800);
+/// Time after which a stand-in closes an idle connection: longer than any test or experiment, so that
+/// only clients close idle connections.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(1800);
 
-/// Bytes in a request body.
-const BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// HTTP/1.1 over TCP for one handler.
+/// Creates an HTTP/1.1 service over TCP that passes each request to `handler`.
 ///
-/// A request's handler is dropped as soon as the client closes the connection. A connection may
-/// stay idle before its first request, as clients open some in advance.
-pub(crate) fn service<H, F, S>(
+/// The handler's future is dropped as soon as the client closes the connection. There is no timeout
+/// for the first request of a connection, because clients open some connections in advance.
+pub(crate) fn h1_service<H, F, S>(
     handler: H,
 ) -> h1::H1Service<TcpStream, S, BoxBody, h1::ExpectHandler, h1::UpgradeHandler>
 where
@@ -40,41 +41,44 @@
     <S::Service as actix_service::Service<Request>>::Future: 'static,
 {
     HttpService::<TcpStream, S, BoxBody>::build()
-        .keep_alive(KEEP_ALIVE)
+        .keep_alive(KEEP_ALIVE_TIMEOUT)
         .client_request_timeout(Duration::ZERO)
         .h1_allow_half_closed(false)
         .tcp_nodelay(true)
         .h1(handler)
 }
 
-/// Accepts every connection.
-pub(crate) fn open<H, F>(
+/// Creates an HTTP/1.1 service that accepts connections without a limit on their number.
+pub(crate) fn unlimited_service<H, F>(
     handler: H,
 ) -> impl ServiceFactory<TcpStream, Config = (), Response = (), Error = DispatchError, InitError = ()>
 where
     H: Fn(Request) -> F + Clone + 'static,
     F: Future<Output = Result<Reply, Infallible>> + 'static,
 {
-    service(handler).tcp()
+    h1_service(handler).tcp()
 }
 
-/// Decodes the JSON body of a request; the error is the response to send.
-pub(crate) async fn decode<T: DeserializeOwned>(request: &mut Request) -> Result<T, Reply> {
+/// Decodes the JSON body of a request. On failure, the error is the response to send.
+pub(crate) async fn decode_body<T: DeserializeOwned>(request: &mut Request) -> Result<T, Reply> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string()))?;
-        if body.len() + chunk.len() > BODY_BYTES {
-            return Err(problem(StatusCode::PAYLOAD_TOO_LARGE, "body is too large"));
+        let chunk =
+            chunk.map_err(|error| text_response(StatusCode::BAD_REQUEST, &error.to_string()))?;
+        if body.len() + chunk.len() > MAX_BODY_BYTES {
+            return Err(text_response(StatusCode::PAYLOAD_TOO_LARGE, "body is too large"));
         }
         body.extend_from_slice(&chunk);
     }
     serde_json::from_slice(&body)
-        .map_err(|error| problem(StatusCode::BAD_REQUEST, &error.to_string()))
+        .map_err(|error| text_response(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// The value of a parameter of the request's query; names and numbers need no decoding.
-pub(crate) fn parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+/// Returns the value of a parameter of the request's query string.
+///
+/// The value is not percent-decoded; names and numbers need no decoding.
+pub(crate) fn query_parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     query.split('&').find_map(|pair| {
         let (key, value) = pair.split_once('=')?;
@@ -82,38 +86,39 @@
     })
 }
 
-/// The number in a parameter; 0 when it is absent. The error is the response to send.
-pub(crate) fn number(request: &Request, name: &str) -> Result<u64, Reply> {
-    let Some(value) = parameter(request, name) else {
+/// Returns the number in a parameter of the request's query string, or 0 when it is absent. On
+/// failure, the error is the response to send.
+pub(crate) fn number_parameter(request: &Request, name: &str) -> Result<u64, Reply> {
+    let Some(value) = query_parameter(request, name) else {
         return Ok(0);
     };
     value.parse().map_err(|_| {
         let text = format!("{name}: \"{value}\" is not a number");
-        problem(StatusCode::BAD_REQUEST, &text)
+        text_response(StatusCode::BAD_REQUEST, &text)
     })
 }
 
-/// A response with a JSON body.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Reply {
+/// Creates a response with a JSON body.
+pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Reply {
     match serde_json::to_vec(value) {
-        Ok(body) => typed(status, "application/json", body),
-        Err(error) => problem(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
+        Ok(body) => response_with_type(status, "application/json", body),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
-/// A response that explains itself in text.
-pub(crate) fn problem(status: StatusCode, text: &str) -> Reply {
-    typed(status, "text/plain", text.as_bytes().to_vec())
+/// Creates a response with a plain-text body, such as a description of an error.
+pub(crate) fn text_response(status: StatusCode, text: &str) -> Reply {
+    response_with_type(status, "text/plain", text.as_bytes().to_vec())
 }
 
-/// A response without a body.
-pub(crate) fn empty(status: StatusCode) -> Reply {
+/// Creates a response without a body.
+pub(crate) fn empty_response(status: StatusCode) -> Reply {
     Response::with_body(status, BoxBody::new(()))
 }
 
-fn typed(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
+fn response_with_type(status: StatusCode, content_type: &'static str, body: Vec<u8>) -> Reply {
     let mut response = Response::with_body(status, BoxBody::new(body));
     let headers = response.headers_mut();
-    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/standin/src/layout/user.rs
+++ b/crates/standin/src/layout/user.rs
@@ -1,70 +1,71 @@
-//! The users' sizes of today.
+//! The users' current sizes: zones, services, servers and operations.
 
 use ladder_core::collections::Map;
 use ladder_schema::catalogue::{Preference, Urgency};
 
-/// A user of the system.
+/// Organisation that uses the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum User {
-    /// Station bike parking in Porto: tail latency first.
+    /// Station bike parking in Porto, which gives priority to tail latency.
     Porto,
-    /// Subsidy applications in Bagmati: coverage first.
+    /// Subsidy applications in Bagmati, which give priority to coverage.
     Bagmati,
 }
 
-/// Zones and services of a user.
+/// Zones and service groups of a user.
 #[derive(Clone, Debug)]
 pub struct Sizes {
-    /// Who answers for the services.
+    /// Team that is responsible for the services.
     pub owner: &'static str,
-    /// Availability zones.
+    /// Names of the availability zones.
     pub zones: &'static [&'static str],
-    /// Groups of services.
-    pub groups: Vec<Group>,
+    /// Service groups of the user.
+    pub groups: Vec<ServiceGroup>,
 }
 
-/// Services alike, which hold the shards of one index.
+/// ServiceGroup of services with the same sizes, which together serve the shards of one index.
 #[derive(Clone, Copy, Debug)]
-pub struct Group {
-    /// Name of the group and its index.
+pub struct ServiceGroup {
+    /// Name of the group and of its index.
     pub name: &'static str,
-    /// Its services are numbered from 01; otherwise there is one, of the group's name.
+    /// Whether the group's services are numbered from 01. Otherwise the group has one service, which
+    /// has the name of the group.
     pub numbered: bool,
-    /// Number of services, each with one shard.
+    /// Number of services in the group, each with one shard.
     ///
     /// Invariant: 1 unless `numbered`.
     pub services: u32,
-    /// Replicas of each service.
-    pub servers: u32,
-    /// Requests a server works on at once.
+    /// Number of servers of each service.
+    pub replicas: u32,
+    /// Number of requests that a server executes concurrently.
     pub slots: u32,
-    /// Connections a server accepts.
+    /// Maximum number of connections to a server.
     pub connections: u32,
-    /// Cost of a new connection in milliseconds.
+    /// Time to establish a new connection to a server, in milliseconds.
     pub connect_ms: u32,
-    /// Urgency of the entries; an operation's own goes first.
+    /// Urgency of the services' catalogue entries. The urgency of an operation takes precedence.
     pub urgency: Urgency,
-    /// What callers may ask for.
+    /// Operations that callers may request.
     pub operations: &'static [Operation],
 }
 
-/// An operation of the catalogue.
+/// Operation in a service's catalogue entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Operation {
-    /// Its name.
+    /// Name of the operation.
     pub name: &'static str,
-    /// At most one execution per request key.
+    /// Whether the operation is non-idempotent: executed at most once per request key.
     pub unrepeatable: bool,
-    /// Class of urgency.
+    /// Urgency class of the operation.
     pub urgency: Urgency,
-    /// What it gives up first.
+    /// Whether timely or complete answers are preferred.
     pub preference: Preference,
-    /// Deadline when the caller names none, in milliseconds.
+    /// Deadline of a request that specifies none, in milliseconds.
     pub deadline_ms: u32,
 }
 
 impl User {
-    /// Name on the command line and of the fleet.
+    /// Name of the user on the command line; also the name of the user's fleet.
     pub fn name(self) -> &'static str {
         match self {
             Self::Porto => "porto",
@@ -72,7 +73,8 @@
         }
     }
 
-    /// The sizes of today; groups of several services have `scale` times as many, at least one.
+    /// Returns the user's current sizes. In numbered groups, the number of services is multiplied by
+    /// `scale`; at least one service remains.
     pub fn sizes(self, scale: f64) -> Sizes {
         let (owner, zones, groups) = match self {
             Self::Porto => ("smpc-porto", PORTO_ZONES, PORTO_GROUPS),
@@ -94,19 +96,19 @@
 }
 
 impl Sizes {
-    /// Cost of a new connection to the servers of each service.
+    /// Returns, per service, the time to establish a connection to its replicas, in milliseconds.
     pub(super) fn connect_ms(&self) -> Map<String, u32> {
         let groups = self.groups.iter();
-        let costs = groups.flat_map(|group| {
+        let connect_times = groups.flat_map(|group| {
             let names = group.service_names().into_iter();
             names.map(|service| (service, group.connect_ms))
         });
-        costs.collect()
+        connect_times.collect()
     }
 }
 
-impl Group {
-    /// Names of its services.
+impl ServiceGroup {
+    /// Returns the names of the group's services.
     pub fn service_names(&self) -> Vec<String> {
         if !self.numbered {
             return vec![self.name.to_owned()];
@@ -114,13 +116,13 @@
         (1..=self.services).map(|number| format!("{}-{number:02}", self.name)).collect()
     }
 
-    /// Many services of two servers with few slots and costly connections.
-    const fn wide(name: &'static str, services: u32, urgency: Urgency) -> Self {
+    /// Numbered group whose services have two servers with few slots and slow connection setup.
+    const fn sharded(name: &'static str, services: u32, urgency: Urgency) -> Self {
         Self {
             name,
             numbered: true,
             services,
-            servers: 2,
+            replicas: 2,
             slots: 2,
             connections: 25,
             connect_ms: 6,
@@ -129,13 +131,13 @@
         }
     }
 
-    /// One service of ordinary urgency with cheap connections.
-    const fn single(name: &'static str, servers: u32) -> Self {
+    /// ServiceGroup of one service of ordinary urgency with fast connection setup.
+    const fn single(name: &'static str, replicas: u32) -> Self {
         Self {
             name,
             numbered: false,
             services: 1,
-            servers,
+            replicas,
             slots: 1,
             connections: 1,
             connect_ms: 1,
@@ -154,7 +156,7 @@
 }
 
 impl Operation {
-    /// A repeatable operation without a preference of its own.
+    /// Idempotent operation without a preference.
     const fn new(name: &'static str, urgency: Urgency, deadline_ms: u32) -> Self {
         Self {
             name,
@@ -170,8 +172,8 @@
 
 const BAGMATI_ZONES: &[&str] = &["kathmandu", "lalitpur", "bhaktapur", "dhulikhel"];
 
-const PORTO_GROUPS: &[Group] = &[
-    Group {
+const PORTO_GROUPS: &[ServiceGroup] = &[
+    ServiceGroup {
         operations: &[
             Operation {
                 preference: Preference::Timely,
@@ -182,9 +184,9 @@
                 ..Operation::new("dock-booking", Urgency::Elevated, 2000)
             },
         ],
-        ..Group::wide("gate-finder", 20, Urgency::Elevated)
+        ..ServiceGroup::sharded("gate-finder", 20, Urgency::Elevated)
     },
-    Group {
+    ServiceGroup {
         operations: &[
             Operation {
                 preference: Preference::Timely,
@@ -192,27 +194,27 @@
             },
             Operation::new("flagged-bikes", Urgency::Ordinary, 2000),
         ],
-        ..Group::wide("patrol-rounds", 30, Urgency::Ordinary)
+        ..ServiceGroup::sharded("patrol-rounds", 30, Urgency::Ordinary)
     },
-    Group {
+    ServiceGroup {
         operations: &[
             Operation::new("profile", Urgency::Ordinary, 1000),
             Operation { unrepeatable: true, ..Operation::new("payment", Urgency::Ordinary, 2000) },
         ],
         slots: 6,
         connections: 100,
-        ..Group::single("subscriber-desk", 3)
+        ..ServiceGroup::single("subscriber-desk", 3)
     },
-    Group {
+    ServiceGroup {
         operations: &[Operation::new("tariff", Urgency::Ordinary, 1000)],
         slots: 6,
         connections: 100,
-        ..Group::single("tariff-board", 3)
+        ..ServiceGroup::single("tariff-board", 3)
     },
 ];
 
-const BAGMATI_GROUPS: &[Group] = &[
-    Group {
+const BAGMATI_GROUPS: &[ServiceGroup] = &[
+    ServiceGroup {
         operations: &[
             Operation {
                 preference: Preference::Complete,
@@ -223,25 +225,25 @@
                 ..Operation::new("payout-lookup", Urgency::Urgent, 2000)
             },
         ],
-        ..Group::wide("counter-desk", 20, Urgency::Urgent)
+        ..ServiceGroup::sharded("counter-desk", 20, Urgency::Urgent)
     },
-    Group {
+    ServiceGroup {
         operations: &[Operation {
             preference: Preference::Complete,
             ..Operation::new("duplicate-claims", Urgency::Elevated, 1000)
         }],
-        ..Group::wide("ledger-sync", 30, Urgency::Elevated)
+        ..ServiceGroup::sharded("ledger-sync", 30, Urgency::Elevated)
     },
-    Group {
+    ServiceGroup {
         operations: &[Operation::new("application-status", Urgency::Ordinary, 1000)],
         slots: 2,
         connections: 35,
-        ..Group::single("member-portal", 5)
+        ..ServiceGroup::single("member-portal", 5)
     },
-    Group {
+    ServiceGroup {
         operations: &[Operation::new("report", Urgency::Ordinary, 2000)],
         slots: 2,
         connections: 35,
-        ..Group::single("report-desk", 4)
+        ..ServiceGroup::single("report-desk", 4)
     },
 ];
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -1,31 +1,32 @@
-//! Reading of targets' ledgers by a checker.
+//! Detection of repeated executions in the targets' ledgers.
 
 use ladder_core::collections::Map;
 use ladder_schema::standin::{Execution, Ledger};
 
-/// What was executed more often than once, over all servers.
+/// One shard of a request that was executed more than once, counted over all servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Double {
-    /// The caller's request key.
+    /// Request key that the caller chose.
     pub key: String,
-    /// The operation.
+    /// Name of the request's operation.
     pub operation: String,
-    /// The shard.
+    /// Name of the shard.
     pub shard: String,
-    /// Executions; 2 or more.
+    /// Number of executions, at least 2.
     pub count: u32,
 }
 
-/// Requests of one operation that were executed more often than once, in order of key and shard.
+/// Returns the requests of one operation that were executed more than once, sorted by request key
+/// and shard.
 ///
-/// Each shard is looked at by itself, so that a second execution is also seen when it asked for
-/// the shards in other groups.
+/// Executions are counted per shard, so that a repeated execution is also found when it groups the
+/// shards differently than the first one.
 pub fn doubles(ledgers: &[Ledger], operation: &str) -> Vec<Double> {
     let executions = ledgers.iter().flat_map(|ledger| &ledger.executions);
     let executions = executions.filter(|execution| execution.operation == operation);
     let mut counts: Map<(&str, &str), u32> = Map::default();
     for execution in executions {
-        add(&mut counts, execution);
+        add_execution(&mut counts, execution);
     }
     let repeated = counts.into_iter().filter(|(_, count)| *count > 1);
     let mut doubles: Vec<Double> = repeated
@@ -40,7 +41,7 @@
     doubles
 }
 
-fn add<'a>(counts: &mut Map<(&'a str, &'a str), u32>, execution: &'a Execution) {
+fn add_execution<'a>(counts: &mut Map<(&'a str, &'a str), u32>, execution: &'a Execution) {
     for shard in &execution.shards {
         *counts.entry((&execution.key, shard)).or_default() += execution.count;
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,8 +1,10 @@
-//! The platform's configuration service: published records for reads and watches.
+//! Stand-in for the platform's configuration service, which serves published records for reads and
+//! watches.
 //!
-//! `GET /v1/records?after=REVISION&wait_ms=MS` answers the records above a revision and waits up
-//! to the given time when there are none. Operators publish with `POST /admin/publish`, choose a
-//! failure with `POST /admin/mode` and read the number of calls with `GET /admin/counts`.
+//! `GET /v1/records?after=REVISION&wait_ms=MS` returns the records above a revision. When there are
+//! none, the response waits up to the given time for a publication. Operators publish records with
+//! `POST /admin/publish`, choose a failure mode with `POST /admin/mode` and read the number of calls
+//! with `GET /admin/counts`.
 
 mod store;
 
@@ -18,161 +20,163 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::http::{self, Reply};
-use crate::settings::{Error, address};
+use crate::settings::{Error, parse_address};
 use store::Store;
 
-/// Longest wait of a watch.
-const WAIT: Duration = Duration::from_secs(60);
+/// Longest time that a watch may wait for a publication.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// Threads that serve; a waiting watch holds none.
-const THREADS: usize = 2;
+/// Number of threads that serve requests. A waiting watch occupies no thread.
+const WORKER_THREADS: usize = 2;
 
-/// Starts to serve; must be called within an actix system.
+/// Starts the platform stand-in. Must be called within an actix system.
 ///
 /// # Errors
 ///
-/// [`Error::Field`] names the field of a mistake in the settings.
+/// [`Error::Field`] names the settings field with an invalid value.
 pub fn start(settings: &Platform) -> Result<Server, Error> {
-    let listen = address("address", &settings.address)?;
+    let listen = parse_address("address", &settings.address)?;
     let mut store = Store::default();
     store
         .publish(settings.records.clone())
-        .map_err(|refusal| Error::field("records", refusal.to_string()))?;
-    let platform = Arc::new(Service::new(store));
+        .map_err(|error| Error::field("records", error.to_string()))?;
+    let platform = Arc::new(PlatformService::new(store));
     let factory = move || {
         let platform = Arc::clone(&platform);
-        http::open(move |request| handle(Arc::clone(&platform), request))
+        http::unlimited_service(move |request| handle(Arc::clone(&platform), request))
     };
     let server = Server::build()
-        .workers(THREADS)
+        .workers(WORKER_THREADS)
         .shutdown_timeout(1)
         .bind("platform", listen, factory)
-        .map_err(|cause| Error::field("address", format!("{listen}: {cause}")))?;
+        .map_err(|error| Error::field("address", format!("{listen}: {error}")))?;
     Ok(server.run())
 }
 
-async fn handle(platform: Arc<Service>, mut request: Request) -> Result<Reply, Infallible> {
+async fn handle(platform: Arc<PlatformService>, mut request: Request) -> Result<Reply, Infallible> {
     let method = request.method().clone();
     let path = request.path().to_owned();
     let reply = match (method, path.as_str()) {
-        (Method::GET, "/v1/records") => platform.records(&request).await,
-        (Method::POST, "/admin/publish") => platform.publish(&mut request).await,
-        (Method::POST, "/admin/mode") => platform.mode(&mut request).await,
-        (Method::GET, "/admin/counts") => Ok(platform.counts()),
-        _ => Ok(http::empty(StatusCode::NOT_FOUND)),
+        (Method::GET, "/v1/records") => platform.handle_records(&request).await,
+        (Method::POST, "/admin/publish") => platform.handle_publish(&mut request).await,
+        (Method::POST, "/admin/mode") => platform.handle_mode(&mut request).await,
+        (Method::GET, "/admin/counts") => Ok(platform.handle_counts()),
+        _ => Ok(http::empty_response(StatusCode::NOT_FOUND)),
     };
-    Ok(reply.unwrap_or_else(|refusal| refusal))
+    Ok(reply.unwrap_or_else(|error_response| error_response))
 }
 
-/// What readers get at one moment.
-enum Reading {
-    /// The service is down.
+/// Result of a read of the published records.
+enum ReadResult {
+    /// The failure mode makes the platform unavailable.
     Down,
-    /// The records above the revision asked for, possibly none.
+    /// The records above the requested revision, possibly none.
     Page(Page),
 }
 
-/// Published records and the failure in force.
-struct State {
+/// Published records, current failure mode and call counter of the platform stand-in.
+struct PlatformState {
     store: Store,
-    /// What readers see in place of `store` while the mode is stale.
+    /// Copy of `store` that is served to readers while the mode is stale.
     ///
-    /// Invariant: set exactly while `mode.stale`.
+    /// Invariant: `Some` exactly while `mode.stale` is set.
     snapshot: Option<Store>,
     mode: Mode,
     calls: u64,
 }
 
-struct Service {
-    state: Mutex<State>,
-    /// Changes with every publication and mode, and wakes the waiting watches.
-    generation: watch::Sender<u64>,
+struct PlatformService {
+    state: Mutex<PlatformState>,
+    /// Counter that grows with every publication and change of mode, which wakes the waiting watches.
+    changes: watch::Sender<u64>,
 }
 
-impl Service {
+impl PlatformService {
     fn new(store: Store) -> Self {
-        let state = State { store, snapshot: None, mode: Mode::default(), calls: 0 };
-        Self { state: Mutex::new(state), generation: watch::Sender::new(0) }
+        let state = PlatformState { store, snapshot: None, mode: Mode::default(), calls: 0 };
+        Self { state: Mutex::new(state), changes: watch::Sender::new(0) }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, PlatformState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn changed(&self) {
-        self.generation.send_modify(|generation| *generation += 1);
+    fn wake_watches(&self) {
+        self.changes.send_modify(|changes| *changes += 1);
     }
 
-    async fn records(&self, request: &Request) -> Result<Reply, Reply> {
-        let slow = self.count();
-        let after = http::number(request, "after")?;
-        let wait = Duration::from_millis(http::number(request, "wait_ms")?).min(WAIT);
-        sleep(slow).await;
-        Ok(match self.watch(after, wait).await {
-            Reading::Down => http::empty(StatusCode::SERVICE_UNAVAILABLE),
-            Reading::Page(page) => http::json(StatusCode::OK, &page),
+    async fn handle_records(&self, request: &Request) -> Result<Reply, Reply> {
+        let delay = self.count_call();
+        let after = http::number_parameter(request, "after")?;
+        let max_wait =
+            Duration::from_millis(http::number_parameter(request, "wait_ms")?).min(MAX_WATCH_WAIT);
+        sleep(delay).await;
+        Ok(match self.watch(after, max_wait).await {
+            ReadResult::Down => http::empty_response(StatusCode::SERVICE_UNAVAILABLE),
+            ReadResult::Page(page) => http::json_response(StatusCode::OK, &page),
         })
     }
 
-    /// Counts a call and gives the delay in force.
-    fn count(&self) -> Duration {
+    /// Counts a read call and returns the response delay of the current mode.
+    fn count_call(&self) -> Duration {
         let mut state = self.state();
         state.calls += 1;
         Duration::from_millis(state.mode.slow_ms.into())
     }
 
-    async fn watch(&self, after: u64, wait: Duration) -> Reading {
-        let deadline = Instant::now() + wait;
-        // Subscribed before the first read, so that no change between read and wait is missed.
-        let mut generation = self.generation.subscribe();
+    async fn watch(&self, after: u64, max_wait: Duration) -> ReadResult {
+        let deadline = Instant::now() + max_wait;
+        // Subscribes before the first read, so that a change between read and wait is not missed.
+        let mut changes = self.changes.subscribe();
         loop {
             match self.read(after) {
-                Reading::Page(page) if page.records.is_empty() => {}
-                reading => return reading,
+                ReadResult::Page(page) if page.records.is_empty() => {}
+                result => return result,
             }
-            if timeout_at(deadline, generation.changed()).await.is_err() {
+            if timeout_at(deadline, changes.changed()).await.is_err() {
                 return self.read(after);
             }
         }
     }
 
-    fn read(&self, after: u64) -> Reading {
+    fn read(&self, after: u64) -> ReadResult {
         let state = self.state();
         if state.mode.down {
-            return Reading::Down;
+            return ReadResult::Down;
         }
         let store = state.snapshot.as_ref().unwrap_or(&state.store);
-        Reading::Page(store.page(after))
+        ReadResult::Page(store.page(after))
     }
 
-    async fn publish(&self, request: &mut Request) -> Result<Reply, Reply> {
-        let page: Page = http::decode(request).await?;
+    async fn handle_publish(&self, request: &mut Request) -> Result<Reply, Reply> {
+        let page: Page = http::decode_body(request).await?;
         let head = self
             .state()
             .store
             .publish(page.records)
-            .map_err(|refusal| http::problem(refusal.status(), &refusal.to_string()))?;
-        self.changed();
+            .map_err(|error| http::text_response(error.status(), &error.to_string()))?;
+        self.wake_watches();
         let page = Page { head, ..Page::default() };
-        Ok(http::json(StatusCode::OK, &page))
+        Ok(http::json_response(StatusCode::OK, &page))
     }
 
-    async fn mode(&self, request: &mut Request) -> Result<Reply, Reply> {
-        let mode: Mode = http::decode(request).await?;
-        self.state().change(mode);
-        self.changed();
-        Ok(http::empty(StatusCode::OK))
+    async fn handle_mode(&self, request: &mut Request) -> Result<Reply, Reply> {
+        let mode: Mode = http::decode_body(request).await?;
+        self.state().set_mode(mode);
+        self.wake_watches();
+        Ok(http::empty_response(StatusCode::OK))
     }
 
-    fn counts(&self) -> Reply {
+    fn handle_counts(&self) -> Reply {
         let calls = self.state().calls;
-        http::json(StatusCode::OK, &Counts { calls })
+        http::json_response(StatusCode::OK, &Counts { calls })
     }
 }
 
-impl State {
-    /// A stale mode set again keeps the snapshot of its first setting.
-    fn change(&mut self, mode: Mode) {
+impl PlatformState {
+    /// Sets the failure mode. When the mode was stale already and stays stale, the existing snapshot is
+    /// kept.
+    fn set_mode(&mut self, mode: Mode) {
         self.snapshot = match self.snapshot.take() {
             _ if !mode.stale => None,
             Some(snapshot) => Some(snapshot),
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -1,29 +1,29 @@
-//! The published records: the newest of each key.
+//! Store of the published records: the newest record of each key.
 
 use actix_http::StatusCode;
 use ladder_core::collections::Map;
 use ladder_core::control::store::Key;
 use ladder_schema::publication::{Page, Record};
 
-/// Why a publication is refused.
+/// Reason why a publication is refused.
 #[derive(Debug, PartialEq, Eq)]
 #[derive(displaydoc::Display)]
-pub(super) enum Refusal {
+pub(super) enum PublishError {
     /// record {0} has no body
     NoBody(usize),
     /// record {position}: revision {revision} is not above the head {head}
     OldRevision {
-        /// Position in the page.
+        /// Position of the record in the published page.
         position: usize,
-        /// Revision of the record.
+        /// Revision that the record was published with.
         revision: u64,
-        /// Highest revision published.
+        /// Highest revision published so far.
         head: u64,
     },
 }
 
-impl Refusal {
-    /// How the refusal is answered.
+impl PublishError {
+    /// Returns the HTTP status that reports the refused publication.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             Self::NoBody(_) => StatusCode::BAD_REQUEST,
@@ -32,39 +32,41 @@
     }
 }
 
-/// The newest record of each key.
+/// Published records: the newest record of each key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Store {
-    /// Invariant: the highest revision of `records`; grows with every publication.
+    /// Highest revision of `records`.
+    ///
+    /// Invariant: grows with every publication.
     head: u64,
     records: Map<Key, Record>,
 }
 
 impl Store {
-    /// Publishes all records or none; a record without a revision gets the next one. Gives the new
-    /// head.
+    /// Publishes all records, or none if one is refused, and returns the new head revision.
     ///
-    /// A revision that is not above the head is refused: of two operators who publish at once from
-    /// the same head, the second is told so and does not overwrite the first.
-    pub(super) fn publish(&mut self, records: Vec<Record>) -> Result<u64, Refusal> {
-        let mut next = self.clone();
+    /// A record without a revision gets the next one. A record whose revision is not above the head
+    /// is refused: when two operators publish concurrently from the same head, the second one gets
+    /// an error and does not overwrite the records of the first.
+    pub(super) fn publish(&mut self, records: Vec<Record>) -> Result<u64, PublishError> {
+        let mut updated = self.clone();
         for (position, record) in records.into_iter().enumerate() {
-            next.insert(position, record)?;
+            updated.insert(position, record)?;
         }
-        *self = next;
+        *self = updated;
         Ok(self.head)
     }
 
-    fn insert(&mut self, position: usize, mut record: Record) -> Result<(), Refusal> {
+    fn insert(&mut self, position: usize, mut record: Record) -> Result<(), PublishError> {
         if record.body.is_none() {
-            return Err(Refusal::NoBody(position));
+            return Err(PublishError::NoBody(position));
         }
         let key = Key::of(&record);
         if record.revision == 0 {
             record.revision = self.head + 1;
         }
         if record.revision <= self.head {
-            return Err(Refusal::OldRevision {
+            return Err(PublishError::OldRevision {
                 position,
                 revision: record.revision,
                 head: self.head,
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    /// Records above a revision, oldest first.
+    /// Returns the records above a revision, sorted by revision.
     pub(super) fn page(&self, after: u64) -> Page {
         let newer = self.records.values();
         let newer = newer.filter(|record| record.revision > after);
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! A stand-in on a thread of its own, for tests that need no separate process.
+//! Runs a stand-in on its own thread, for tests that need no separate process.
 
 use std::sync::mpsc;
 use std::thread::{self, JoinHandle};
@@ -7,18 +7,19 @@
 
 use crate::settings::Error;
 
-/// A stand-in that serves until it is dropped.
+/// Stand-in that runs on its own thread and stops when this value is dropped.
 pub struct Process {
     handle: ServerHandle,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Process {
-    /// Starts what `start` makes; when this returns, its ports are open.
+    /// Starts the server that `start` creates. Its ports are open when this function returns.
     ///
     /// # Errors
     ///
-    /// Whatever `start` gives.
+    /// The error that `start` returns, and [`Error::Field`] when the thread terminates before the
+    /// server runs.
     pub fn start<F>(start: F) -> Result<Self, Error>
     where
         F: FnOnce() -> Result<Server, Error> + Send + 'static,
@@ -34,8 +35,8 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // The command is sent by the call itself; the future only waits for its completion, as
-        // does the join below.
+        // `stop` sends the stop command when it is called. Its future, which is dropped here, would
+        // only wait for completion, and so does the join below.
         drop(self.handle.stop(false));
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -43,18 +44,18 @@
     }
 }
 
-fn serve<F>(start: F, started: &mpsc::Sender<Result<ServerHandle, Error>>)
+fn serve<F>(start: F, result_sender: &mpsc::Sender<Result<ServerHandle, Error>>)
 where
     F: FnOnce() -> Result<Server, Error>,
 {
     actix_rt::System::new().block_on(async move {
         match start() {
             Ok(server) => {
-                let _ = started.send(Ok(server.handle()));
+                let _ = result_sender.send(Ok(server.handle()));
                 let _ = server.await;
             }
             Err(error) => {
-                let _ = started.send(Err(error));
+                let _ = result_sender.send(Err(error));
             }
         }
     });
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the stand-ins: reading them and what can be wrong with them.
+//! Reading, writing and checking of the stand-ins' settings files.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -6,43 +6,43 @@
 
 use serde::de::DeserializeOwned;
 
-/// Why a stand-in does not start.
+/// Reason why a stand-in does not start or a layout is not written.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
     /// {path}: cannot be read: {cause}
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// What the system said.
+        /// Error reported by the operating system.
         cause: std::io::Error,
     },
     /// {path}: cannot be written: {cause}
     Write {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: String,
-        /// What the system said.
+        /// Error reported by the operating system.
         cause: std::io::Error,
     },
     /// {path}: {cause}
     Json {
-        /// The file.
+        /// Path of the settings file.
         path: String,
-        /// What the decoder said: the unknown field or wrong value, line and column.
+        /// Error reported by the JSON decoder: the unknown field or invalid value, line and column.
         cause: serde_json::Error,
     },
     /// {field}: {problem}
     Field {
-        /// The field, with the position in its list.
+        /// Path of the field, with the position if the field is in a list.
         field: String,
-        /// What is wrong with its value, and what is allowed.
+        /// Description of the invalid value and of the allowed values.
         problem: String,
     },
     /// no free port on {address}: {cause}
     Port {
-        /// The IP number.
+        /// IP address on which no port is free.
         address: String,
-        /// What the system said.
+        /// Error reported by the operating system.
         cause: std::io::Error,
     },
 }
@@ -50,17 +50,18 @@
 impl std::error::Error for Error {}
 
 impl Error {
-    /// A mistake in one field.
+    /// Creates the error for one field with an invalid value.
     pub(crate) fn field(field: impl Into<String>, problem: impl Into<String>) -> Self {
         Self::Field { field: field.into(), problem: problem.into() }
     }
 }
 
-/// Reads a settings file.
+/// Reads a settings file in JSON.
 ///
 /// # Errors
 ///
-/// [`Error::Read`] when the file cannot be read, [`Error::Json`] when it does not fit the schema.
+/// [`Error::Read`] when the file cannot be read, [`Error::Json`] when its content does not match the
+/// schema.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let text = fs::read_to_string(path)
         .map_err(|cause| Error::Read { path: path.display().to_string(), cause })?;
@@ -68,7 +69,7 @@
         .map_err(|cause| Error::Json { path: path.display().to_string(), cause })
 }
 
-/// Writes a settings file as JSON for people to read.
+/// Writes a settings file as indented JSON.
 ///
 /// # Errors
 ///
@@ -80,19 +81,19 @@
         .map_err(|cause| Error::Write { path: path.display().to_string(), cause })
 }
 
-/// An IP number and port out of the field of this name.
-pub(crate) fn address(field: &str, value: &str) -> Result<SocketAddr, Error> {
+/// Parses the IP address and port in the field named `field`.
+pub(crate) fn parse_address(field: &str, value: &str) -> Result<SocketAddr, Error> {
     value.parse().map_err(|_| {
         let problem = format!("\"{value}\" is not an IP number and port such as 127.0.0.1:8000");
         Error::field(field, problem)
     })
 }
 
-/// Checks that a number lies within bounds, both included.
-pub(crate) fn within(field: &str, value: u32, least: u32, most: u32) -> Result<(), Error> {
-    if (least..=most).contains(&value) {
+/// Checks that the number in the field named `field` is between `min` and `max`, both included.
+pub(crate) fn check_range(field: &str, value: u32, min: u32, max: u32) -> Result<(), Error> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let problem = format!("{value} is not within {least} to {most}");
+    let problem = format!("{value} is not within {min} to {max}");
     Err(Error::field(field, problem))
 }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,8 +1,9 @@
-//! Targets: several servers in one process, each with slots, a queue, a connection limit, service
-//! times with stragglers, and failures on request.
+//! Stand-ins for targets: several servers in one process, each with slots, a queue, a connection
+//! limit, service times with stragglers, and injected faults.
 //!
-//! Each server has a port of its own with `POST /query`, `POST /cancel?id=ID`, `GET /load` and
-//! `GET /health`. One more port is for operators: `POST /admin/fault` and `GET /admin/ledger`.
+//! Each server listens on its own port with `POST /query`, `POST /cancel?id=ID`, `GET /load` and
+//! `GET /health`. One further port of the process is for operators: `POST /admin/fault` and
+//! `GET /admin/ledger`.
 
 mod admin;
 mod api;
@@ -19,38 +20,38 @@
 use ladder_schema::standin::Targets;
 
 use crate::http;
-use crate::settings::{Error, address};
+use crate::settings::{Error, parse_address};
 use server::Server;
 
-/// Threads when the settings name none.
-const THREADS: u32 = 3;
+/// Number of worker threads when the settings leave it at 0.
+const DEFAULT_THREADS: u32 = 3;
 
-/// Starts to serve; must be called within an actix system.
+/// Starts the target stand-ins of one process. Must be called within an actix system.
 ///
 /// # Errors
 ///
-/// [`Error::Field`] names the field of a mistake in the settings.
+/// [`Error::Field`] names the settings field with an invalid value.
 pub fn start(settings: &Targets) -> Result<Listener, Error> {
-    check::targets(settings)?;
-    let servers = servers(settings);
+    check::check_settings(settings)?;
+    let servers = create_servers(settings);
     let threads = match settings.threads {
-        0 => THREADS,
+        0 => DEFAULT_THREADS,
         threads => threads,
     };
     let mut builder = Listener::build().workers(threads as usize).shutdown_timeout(1);
     for (position, server) in servers.iter().enumerate() {
         let field = format!("targets[{position}].server.address");
-        let listen = address(&field, server.address())?;
-        builder = listen_server(builder, listen, server)
-            .map_err(|cause| Error::field(field, format!("{listen}: {cause}")))?;
+        let listen_address = parse_address(&field, server.address())?;
+        builder = bind_server(builder, listen_address, server)
+            .map_err(|error| Error::field(field, format!("{listen_address}: {error}")))?;
     }
-    let listen = address("admin_address", &settings.admin_address)?;
-    let builder = listen_admin(builder, listen, servers)
-        .map_err(|cause| Error::field("admin_address", format!("{listen}: {cause}")))?;
+    let listen_address = parse_address("admin_address", &settings.admin_address)?;
+    let builder = bind_admin(builder, listen_address, servers)
+        .map_err(|error| Error::field("admin_address", format!("{listen_address}: {error}")))?;
     Ok(builder.run())
 }
 
-fn servers(settings: &Targets) -> Vec<Arc<Server>> {
+fn create_servers(settings: &Targets) -> Vec<Arc<Server>> {
     let targets = settings.targets.iter().zip(0_u64..);
     let servers = targets.map(|(target, number)| {
         let seed = settings.seed.wrapping_mul(1_000_003).wrapping_add(number);
@@ -59,24 +60,24 @@
     servers.collect()
 }
 
-fn listen_server(
+fn bind_server(
     builder: ServerBuilder,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     server: &Arc<Server>,
 ) -> std::io::Result<ServerBuilder> {
     let name = server.name().to_owned();
     let server = Arc::clone(server);
-    builder.bind(name, listen, move || api::factory(Arc::clone(&server)))
+    builder.bind(name, listen_address, move || api::factory(Arc::clone(&server)))
 }
 
-fn listen_admin(
+fn bind_admin(
     builder: ServerBuilder,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
     servers: Vec<Arc<Server>>,
 ) -> std::io::Result<ServerBuilder> {
     let servers: Arc<[Arc<Server>]> = servers.into();
-    builder.bind("admin", listen, move || {
+    builder.bind("admin", listen_address, move || {
         let servers = Arc::clone(&servers);
-        http::open(move |request| admin::handle(Arc::clone(&servers), request))
+        http::unlimited_service(move |request| admin::handle(Arc::clone(&servers), request))
     })
 }
--- a/crates/standin/src/target/admin.rs
+++ b/crates/standin/src/target/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' interface of a process of targets: faults and ledgers.
+//! Operators' HTTP interface of a process of stand-in targets: faults and ledgers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -10,10 +10,11 @@
 use super::server::Server;
 use crate::http::{self, Reply};
 
-/// Answers `POST /admin/fault` and `GET /admin/ledger`; `?server=NAME` chooses one server.
+/// Handles `POST /admin/fault` and `GET /admin/ledger`. `?server=NAME` selects one server; without
+/// it, the request applies to all.
 ///
-/// A ledger of `?operation=NAME` lists only executions of that operation, one of `?least=N` only
-/// those that were executed at least N times.
+/// For the ledger, `?operation=NAME` lists only executions of that operation, and `?least=N` only
+/// requests that were executed at least N times.
 pub(super) async fn handle(
     servers: Arc<[Arc<Server>]>,
     mut request: Request,
@@ -21,48 +22,52 @@
     let method = request.method().clone();
     let path = request.path().to_owned();
     let reply = match (method, path.as_str()) {
-        (Method::POST, "/admin/fault") => fault(&servers, &mut request).await,
-        (Method::GET, "/admin/ledger") => ledger(&servers, &request),
-        _ => Ok(http::empty(StatusCode::NOT_FOUND)),
+        (Method::POST, "/admin/fault") => handle_fault(&servers, &mut request).await,
+        (Method::GET, "/admin/ledger") => handle_ledger(&servers, &request),
+        _ => Ok(http::empty_response(StatusCode::NOT_FOUND)),
     };
-    Ok(reply.unwrap_or_else(|refusal| refusal))
+    Ok(reply.unwrap_or_else(|error_response| error_response))
 }
 
-async fn fault(servers: &[Arc<Server>], request: &mut Request) -> Result<Reply, Reply> {
-    let fault: Fault = http::decode(request).await?;
-    for server in chosen(servers, request)? {
+async fn handle_fault(servers: &[Arc<Server>], request: &mut Request) -> Result<Reply, Reply> {
+    let fault: Fault = http::decode_body(request).await?;
+    for server in selected_servers(servers, request)? {
         server.set_fault(fault.clone());
     }
-    Ok(http::empty(StatusCode::OK))
+    Ok(http::empty_response(StatusCode::OK))
 }
 
-/// Sums and concatenates the ledgers; the peak of connections is the highest of any server.
-fn ledger(servers: &[Arc<Server>], request: &Request) -> Result<Reply, Reply> {
+/// Returns one ledger for all selected servers: executions are concatenated and counters summed;
+/// `peak_connections` is the highest peak of a single server.
+fn handle_ledger(servers: &[Arc<Server>], request: &Request) -> Result<Reply, Reply> {
     let filter = Filter {
-        operation: http::parameter(request, "operation").map(str::to_owned),
-        least: u32::try_from(http::number(request, "least")?).unwrap_or(u32::MAX),
+        operation: http::query_parameter(request, "operation").map(str::to_owned),
+        min_count: u32::try_from(http::number_parameter(request, "least")?).unwrap_or(u32::MAX),
     };
-    let mut sum = Ledger::default();
-    for server in chosen(servers, request)? {
+    let mut combined = Ledger::default();
+    for server in selected_servers(servers, request)? {
         let ledger = server.ledger(&filter);
-        sum.executions.extend(ledger.executions);
-        sum.peak_connections = sum.peak_connections.max(ledger.peak_connections);
-        sum.refused_connections += ledger.refused_connections;
-        sum.calls += ledger.calls;
-        sum.busy_us += ledger.busy_us;
+        combined.executions.extend(ledger.executions);
+        combined.peak_connections = combined.peak_connections.max(ledger.peak_connections);
+        combined.refused_connections += ledger.refused_connections;
+        combined.calls += ledger.calls;
+        combined.busy_us += ledger.busy_us;
     }
-    Ok(http::json(StatusCode::OK, &sum))
+    Ok(http::json_response(StatusCode::OK, &combined))
 }
 
-/// The servers that the request is about.
-fn chosen<'a>(servers: &'a [Arc<Server>], request: &Request) -> Result<&'a [Arc<Server>], Reply> {
-    let Some(name) = http::parameter(request, "server") else {
+/// Returns the servers that the request applies to.
+fn selected_servers<'a>(
+    servers: &'a [Arc<Server>],
+    request: &Request,
+) -> Result<&'a [Arc<Server>], Reply> {
+    let Some(name) = http::query_parameter(request, "server") else {
         return Ok(servers);
     };
     let position = servers.iter().position(|server| server.name() == name);
     let position = position.ok_or_else(|| {
         let text = format!("server: no \"{name}\" here");
-        http::problem(StatusCode::NOT_FOUND, &text)
+        http::text_response(StatusCode::NOT_FOUND, &text)
     })?;
     Ok(&servers[position..=position])
 }
--- a/crates/standin/src/target/api.rs
+++ b/crates/standin/src/target/api.rs
@@ -1,4 +1,4 @@
-//! A server's HTTP interface and its connections.
+//! HTTP interface and connection handling of a stand-in server.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -12,49 +12,52 @@
 use tokio::time::sleep;
 
 use super::server::Server;
-use super::work::{self, Outcome};
+use super::work::{self, ServeResult};
 use crate::http::{self, Reply};
 
-/// Serves connections within the server's limit.
+/// Creates the service that handles the connections to a server, up to the server's limit.
 pub(super) fn factory(
     server: Arc<Server>,
 ) -> impl ServiceFactory<TcpStream, Config = (), Response = (), Error = Infallible, InitError = ()>
 {
     fn_factory(move || {
         let server = Arc::clone(&server);
-        let handled = Arc::clone(&server);
-        let http = http::service(move |request| handle(Arc::clone(&handled), request));
+        let request_server = Arc::clone(&server);
+        let http_factory =
+            http::h1_service(move |request| handle(Arc::clone(&request_server), request));
         async move {
-            let http = Rc::new(http.new_service(()).await?);
-            let connect = move |stream| connection(Arc::clone(&server), Rc::clone(&http), stream);
-            Ok(fn_service(connect))
+            let http_service = Rc::new(http_factory.new_service(()).await?);
+            let serve = move |stream| {
+                serve_connection(Arc::clone(&server), Rc::clone(&http_service), stream)
+            };
+            Ok(fn_service(serve))
         }
     })
 }
 
-/// Serves one connection until the client closes it or the server dies. A connection beyond the
-/// limit is closed at once.
-async fn connection<S>(
+/// Serves one connection until the client closes it or a fault makes the server dead. A connection
+/// beyond the server's limit is closed at once.
+async fn serve_connection<S>(
     server: Arc<Server>,
-    http: Rc<S>,
+    http_service: Rc<S>,
     stream: TcpStream,
 ) -> Result<(), Infallible>
 where
     S: Service<(TcpStream, Option<std::net::SocketAddr>)>,
 {
-    let Some(_connection) = server.connect() else {
+    let Some(_connection) = server.accept_connection() else {
         return Ok(());
     };
-    let served = async {
+    let serve_http = async {
         sleep(Duration::from_millis(server.settings().connect_ms.into())).await;
-        let _ = http.call((stream, None)).await;
+        let _ = http_service.call((stream, None)).await;
     };
     tokio::select! {
-        // Death first: a request that arrives after the fault was set must not be served any more
-        // because both became ready before this task ran.
+        // Checks first whether the server is dead. Otherwise, if a request arrives after the fault was
+        // set and both are ready before this task runs, the request could still be served.
         biased;
-        () = server.died() => {}
-        () = served => {}
+        () = server.wait_until_dead() => {}
+        () = serve_http => {}
     }
     Ok(())
 }
@@ -63,45 +66,47 @@
     let method = request.method().clone();
     let path = request.path().to_owned();
     Ok(match (method, path.as_str()) {
-        (Method::POST, "/query") => query(&server, &mut request).await,
-        (Method::POST, "/cancel") => cancel(&server, &request),
-        (Method::GET, "/load") => http::json(StatusCode::OK, &server.load()),
-        (Method::GET, "/health") => health(&server),
-        _ => http::empty(StatusCode::NOT_FOUND),
+        (Method::POST, "/query") => handle_query(&server, &mut request).await,
+        (Method::POST, "/cancel") => handle_cancel(&server, &request),
+        (Method::GET, "/load") => http::json_response(StatusCode::OK, &server.load()),
+        (Method::GET, "/health") => handle_health(&server),
+        _ => http::empty_response(StatusCode::NOT_FOUND),
     })
 }
 
-async fn query(server: &Arc<Server>, request: &mut Request) -> Reply {
-    let query = match http::decode(request).await {
+async fn handle_query(server: &Arc<Server>, request: &mut Request) -> Reply {
+    let query = match http::decode_body(request).await {
         Ok(query) => query,
-        Err(refusal) => return refusal,
+        Err(error_response) => return error_response,
     };
-    match work::serve(server, query).await {
-        Outcome::Answer(answer) => http::json(StatusCode::OK, &answer),
-        Outcome::Refusal(refusal) => http::json(refused(refusal.reason()), &refusal),
-        Outcome::Failure(text) => http::problem(StatusCode::INTERNAL_SERVER_ERROR, text),
-        Outcome::Malformed(text) => http::problem(StatusCode::BAD_REQUEST, text),
+    match work::serve_request(server, query).await {
+        ServeResult::Answer(answer) => http::json_response(StatusCode::OK, &answer),
+        ServeResult::Refusal(refusal) => {
+            http::json_response(refusal_status(refusal.reason()), &refusal)
+        }
+        ServeResult::Failure(text) => http::text_response(StatusCode::INTERNAL_SERVER_ERROR, text),
+        ServeResult::Malformed(text) => http::text_response(StatusCode::BAD_REQUEST, text),
     }
 }
 
-fn refused(reason: Reason) -> StatusCode {
+fn refusal_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::VersionRetired => StatusCode::CONFLICT,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-fn cancel(server: &Server, request: &Request) -> Reply {
-    let Some(id) = http::parameter(request, "id") else {
-        return http::problem(StatusCode::BAD_REQUEST, "id: is missing");
+fn handle_cancel(server: &Server, request: &Request) -> Reply {
+    let Some(id) = http::query_parameter(request, "id") else {
+        return http::text_response(StatusCode::BAD_REQUEST, "id: is missing");
     };
     work::cancel(server, id);
-    http::empty(StatusCode::OK)
+    http::empty_response(StatusCode::OK)
 }
 
-fn health(server: &Server) -> Reply {
-    if server.healthy() {
-        return http::empty(StatusCode::OK);
+fn handle_health(server: &Server) -> Reply {
+    if server.reports_healthy() {
+        return http::empty_response(StatusCode::OK);
     }
-    http::empty(StatusCode::SERVICE_UNAVAILABLE)
+    http::empty_response(StatusCode::SERVICE_UNAVAILABLE)
 }
--- a/crates/standin/src/target/executions.rs
+++ b/crates/standin/src/target/executions.rs
@@ -1,50 +1,55 @@
-//! What a server executed, counted by request.
+//! Number of executions of each request at one stand-in server.
 
 use ladder_core::collections::Map;
 use ladder_schema::standin::Execution;
 use ladder_schema::target::Request;
 
-/// What makes two executions the same.
+/// Identifies a request: two executions with the same key count as executions of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Key {
-    request: String,
+struct ExecutionKey {
+    request_key: String,
     operation: String,
+    /// Names of the requested shards.
+    ///
     /// Invariant: sorted.
     shards: Vec<String>,
 }
 
-/// Number of executions of each request.
+/// Number of executions of each request at one server.
 #[derive(Debug, Default)]
 pub(super) struct Executions {
-    counts: Map<Key, u32>,
+    counts: Map<ExecutionKey, u32>,
 }
 
-/// Which executions to list.
+/// Selects the executions that a ledger lists.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Filter {
-    /// Only of this operation.
+    /// If set, only executions of this operation are listed.
     pub(super) operation: Option<String>,
-    /// Only with at least this count.
-    pub(super) least: u32,
+    /// Only requests with at least this number of executions are listed.
+    pub(super) min_count: u32,
 }
 
 impl Executions {
     pub(super) fn record(&mut self, request: &Request) {
         let mut shards = request.shards.clone();
         shards.sort();
-        let key =
-            Key { request: request.key.clone(), operation: request.operation.clone(), shards };
+        let key = ExecutionKey {
+            request_key: request.key.clone(),
+            operation: request.operation.clone(),
+            shards,
+        };
         *self.counts.entry(key).or_default() += 1;
     }
 
-    /// The executions that pass the filter, in order of key, operation and shards.
+    /// Returns the executions that match the filter, sorted by request key, operation and shards.
     pub(super) fn list(&self, server: &str, filter: &Filter) -> Vec<Execution> {
         let counts = self.counts.iter();
-        let wanted = counts.filter(|(key, count)| filter.passes(key, **count));
-        let mut executions: Vec<Execution> = wanted
+        let matching = counts.filter(|(key, count)| filter.matches(key, **count));
+        let mut executions: Vec<Execution> = matching
             .map(|(key, count)| Execution {
                 server: server.to_owned(),
-                key: key.request.clone(),
+                key: key.request_key.clone(),
                 operation: key.operation.clone(),
                 shards: key.shards.clone(),
                 count: *count,
@@ -59,8 +64,8 @@
 }
 
 impl Filter {
-    fn passes(&self, key: &Key, count: u32) -> bool {
+    fn matches(&self, key: &ExecutionKey, count: u32) -> bool {
         let operation = self.operation.as_ref();
-        count >= self.least && operation.is_none_or(|operation| *operation == key.operation)
+        count >= self.min_count && operation.is_none_or(|operation| *operation == key.operation)
     }
 }
--- a/crates/standin/src/target/server.rs
+++ b/crates/standin/src/target/server.rs
@@ -1,4 +1,4 @@
-//! State of one server.
+//! ServerState of one stand-in server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,34 +11,36 @@
 use tokio::sync::{Notify, Semaphore, watch};
 
 use super::executions::{Executions, Filter};
-use super::service::Clock;
+use super::service::ServiceTimes;
 
-/// How many times slower a cold server is.
+/// Factor by which the service times of a cold server (shortly after its start) are longer.
 const COLD_FACTOR: f64 = 3.0;
 
-/// One server; shared by the threads.
+/// One stand-in server; shared by all worker threads.
 pub(super) struct Server {
     settings: Target,
-    server: publication::Server,
-    /// Free slots; waiters get them in order of arrival.
+    record: publication::Server,
+    /// Free slots of the server; waiting requests get them in order of arrival.
     pub(super) slots: Semaphore,
-    /// Whether the server is dead; ends its connections.
-    dead: watch::Sender<bool>,
-    state: Mutex<State>,
+    /// Whether a fault makes the server dead; a change to `true` closes its connections.
+    is_dead: watch::Sender<bool>,
+    state: Mutex<ServerState>,
 }
 
-/// What changes while it serves.
-pub(super) struct State {
+/// Mutable state of a stand-in server.
+pub(super) struct ServerState {
     pub(super) fault: Fault,
-    pub(super) clock: Clock,
+    pub(super) service_times: ServiceTimes,
     pub(super) executions: Executions,
-    /// Signals that cancel the open requests, by identifier.
-    pub(super) open: Map<String, Arc<Notify>>,
-    pub(super) waiting: u32,
+    /// Signals that cancel the open (queued or running) requests, by request identifier.
+    pub(super) cancel_signals: Map<String, Arc<Notify>>,
+    pub(super) queued: u32,
     pub(super) in_service: u32,
     pub(super) calls: u64,
-    pub(super) busy: Duration,
-    /// Invariant: at most the limit of the settings.
+    pub(super) busy_time: Duration,
+    /// Number of open connections.
+    ///
+    /// Invariant: at most the connection limit in the settings.
     connections: u32,
     peak_connections: u32,
     refused_connections: u32,
@@ -46,7 +48,7 @@
     cold_until: Instant,
 }
 
-/// An accepted connection; gives its place back when dropped.
+/// Accepted connection; reduces the server's number of open connections when dropped.
 pub(super) struct Connection {
     server: Arc<Server>,
 }
@@ -58,56 +60,56 @@
 }
 
 impl Server {
-    /// A server of checked settings.
+    /// Creates a server from settings that have been checked.
     pub(super) fn new(settings: Target, seed: u64) -> Self {
-        let server = settings.server.clone().unwrap_or_default();
-        let state = State {
+        let record = settings.server.clone().unwrap_or_default();
+        let state = ServerState {
             fault: Fault::default(),
-            clock: Clock::new(&settings, seed),
+            service_times: ServiceTimes::new(&settings, seed),
             executions: Executions::default(),
-            open: Map::default(),
-            waiting: 0,
+            cancel_signals: Map::default(),
+            queued: 0,
             in_service: 0,
             calls: 0,
-            busy: Duration::ZERO,
+            busy_time: Duration::ZERO,
             connections: 0,
             peak_connections: 0,
             refused_connections: 0,
-            incarnation: server.incarnation,
-            cold_until: cold_until(&settings),
+            incarnation: record.incarnation,
+            cold_until: cold_end(&settings),
         };
         Self {
-            slots: Semaphore::new(server.slots as usize),
-            dead: watch::Sender::new(false),
+            slots: Semaphore::new(record.slots as usize),
+            is_dead: watch::Sender::new(false),
             state: Mutex::new(state),
             settings,
-            server,
+            record,
         }
     }
 
     pub(super) fn name(&self) -> &str {
-        &self.server.name
+        &self.record.name
     }
 
     pub(super) fn address(&self) -> &str {
-        &self.server.address
+        &self.record.address
     }
 
     pub(super) fn settings(&self) -> &Target {
         &self.settings
     }
 
-    pub(super) fn state(&self) -> MutexGuard<'_, State> {
+    pub(super) fn state(&self) -> MutexGuard<'_, ServerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a place for a new connection; none when the server is dead or has no place left.
-    pub(super) fn connect(self: &Arc<Self>) -> Option<Connection> {
+    /// Accepts a new connection. Returns `None` when the server is dead or at its connection limit.
+    pub(super) fn accept_connection(self: &Arc<Self>) -> Option<Connection> {
         let mut state = self.state();
         if state.fault.dead {
             return None;
         }
-        if state.connections >= self.server.connections {
+        if state.connections >= self.record.connections {
             state.refused_connections += 1;
             return None;
         }
@@ -117,32 +119,34 @@
         Some(Connection { server })
     }
 
-    /// Returns once the server is dead.
-    pub(super) async fn died(&self) {
-        let mut dead = self.dead.subscribe();
-        let _ = dead.wait_for(|dead| *dead).await;
+    /// Waits until a fault makes the server dead.
+    pub(super) async fn wait_until_dead(&self) {
+        let mut is_dead = self.is_dead.subscribe();
+        let _ = is_dead.wait_for(|dead| *dead).await;
     }
 
-    /// Replaces the faults in force. A dead server that comes back is a new incarnation and cold.
+    /// Replaces the active faults. When a dead server becomes alive again, it has a new incarnation
+    /// and is cold.
     pub(super) fn set_fault(&self, fault: Fault) {
         let mut state = self.state();
         if state.fault.dead && !fault.dead {
             state.incarnation += 1;
-            state.cold_until = cold_until(&self.settings);
+            state.cold_until = cold_end(&self.settings);
         }
-        self.dead.send_replace(fault.dead);
+        self.is_dead.send_replace(fault.dead);
         state.fault = fault;
     }
 
-    /// How long the server is gone when it begins to run such a request; `None`: it runs it.
-    pub(super) fn ends_at(&self, request: &Request) -> Option<Duration> {
+    /// Returns how long the server is down if executing this request crashes it, or `None` if it does
+    /// not.
+    pub(super) fn crash_duration(&self, request: &Request) -> Option<Duration> {
         let fault = &self.state().fault;
-        let ends = !fault.ends_at.is_empty() && fault.ends_at == request.payload;
-        ends.then(|| Duration::from_millis(fault.down_ms.into()))
+        let crashes = !fault.ends_at.is_empty() && fault.ends_at == request.payload;
+        crashes.then(|| Duration::from_millis(fault.down_ms.into()))
     }
 
-    /// Ends, and starts again later with the same faults.
-    pub(super) fn end_for(self: &Arc<Self>, down: Duration) {
+    /// Crashes the server and starts it again after `down`, with the same faults.
+    pub(super) fn crash_for(self: &Arc<Self>, down: Duration) {
         let fault = self.state().fault.clone();
         self.set_fault(Fault { dead: true, ..fault.clone() });
         let server = Arc::clone(self);
@@ -152,23 +156,24 @@
         });
     }
 
-    /// Why the server takes no such request in its present state.
-    pub(super) fn refusal(&self, request: &Request) -> Option<Reason> {
+    /// Returns the reason for which the server refuses the request in its current state, or `None` if
+    /// it accepts the request.
+    pub(super) fn refusal_reason(&self, request: &Request) -> Option<Reason> {
         let state = self.state();
         if state.fault.shedding {
             return Some(Reason::TargetShed);
         }
-        if self.leaving(&state) {
+        if self.is_leaving(&state) {
             return Some(Reason::TargetLeaving);
         }
-        let mut holdings = self.holdings(&state).iter();
-        let held = holdings
+        let mut holdings = self.served_holdings(&state).iter();
+        let is_served = holdings
             .any(|holding| holding.index == request.index && holding.version == request.version);
-        (!held).then_some(Reason::VersionRetired)
+        (!is_served).then_some(Reason::VersionRetired)
     }
 
-    /// How many times slower than usual it is now.
-    pub(super) fn slowdown(&self, state: &State) -> f64 {
+    /// Returns the factor by which the server's service times are currently longer than usual.
+    pub(super) fn slowdown(&self, state: &ServerState) -> f64 {
         let slowdown = f64::from(state.fault.slowdown.max(1));
         if Instant::now() < state.cold_until {
             return slowdown * COLD_FACTOR;
@@ -176,50 +181,51 @@
         slowdown
     }
 
-    /// What it reports; an idle server while it is to lie or fails fast.
+    /// Returns the load that the server reports. Under the faults `lying` and `failing` it reports an
+    /// idle server.
     pub(super) fn load(&self) -> Load {
         let state = self.state();
-        let idle = state.fault.lying || state.fault.failing;
+        let reports_idle = state.fault.lying || state.fault.failing;
         Load {
-            in_service: if idle { 0 } else { state.in_service },
-            queued: if idle { 0 } else { state.waiting },
-            leaving: !state.fault.lying && self.leaving(&state),
-            cold: !idle && Instant::now() < state.cold_until,
+            in_service: if reports_idle { 0 } else { state.in_service },
+            queued: if reports_idle { 0 } else { state.queued },
+            leaving: !state.fault.lying && self.is_leaving(&state),
+            cold: !reports_idle && Instant::now() < state.cold_until,
             incarnation: state.incarnation,
-            holdings: self.holdings(&state).to_vec(),
+            holdings: self.served_holdings(&state).to_vec(),
         }
     }
 
-    /// Whether it reports itself fit for work.
-    pub(super) fn healthy(&self) -> bool {
+    /// Returns whether the server reports itself healthy.
+    pub(super) fn reports_healthy(&self) -> bool {
         let state = self.state();
-        state.fault.lying || !self.leaving(&state)
+        state.fault.lying || !self.is_leaving(&state)
     }
 
-    /// What happened since the start.
+    /// Returns the executions that match `filter` and the counters since the start of the process.
     pub(super) fn ledger(&self, filter: &Filter) -> Ledger {
         let state = self.state();
         Ledger {
-            executions: state.executions.list(&self.server.name, filter),
+            executions: state.executions.list(&self.record.name, filter),
             peak_connections: state.peak_connections,
             refused_connections: state.refused_connections,
             calls: state.calls,
-            busy_us: u64::try_from(state.busy.as_micros()).unwrap_or(u64::MAX),
+            busy_us: u64::try_from(state.busy_time.as_micros()).unwrap_or(u64::MAX),
         }
     }
 
-    fn leaving(&self, state: &State) -> bool {
-        state.fault.leaving || self.server.state() == publication::State::Leaving
+    fn is_leaving(&self, state: &ServerState) -> bool {
+        state.fault.leaving || self.record.state() == publication::State::Leaving
     }
 
-    fn holdings<'a>(&'a self, state: &'a State) -> &'a [Holding] {
+    fn served_holdings<'a>(&'a self, state: &'a ServerState) -> &'a [Holding] {
         if state.fault.holdings.is_empty() {
-            return &self.server.holdings;
+            return &self.record.holdings;
         }
         &state.fault.holdings
     }
 }
 
-fn cold_until(settings: &Target) -> Instant {
+fn cold_end(settings: &Target) -> Instant {
     Instant::now() + Duration::from_millis(settings.cold_ms.into())
 }
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -1,4 +1,4 @@
-//! One request at a server: waiting, service, cancellation.
+//! Processing of one request at a stand-in server: queueing, execution, cancellation.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,179 +12,181 @@
 use super::server::Server;
 use crate::answer;
 
-/// How a request ended.
-pub(super) enum Outcome {
-    /// It ran.
+/// Result of a request at a stand-in server.
+pub(super) enum ServeResult {
+    /// The request was executed.
     Answer(Answer),
-    /// It did not run and will not.
+    /// The request was not executed and will not be.
     Refusal(Refusal),
-    /// It may have run.
+    /// The request may have been executed.
     Failure(&'static str),
-    /// It cannot be understood.
+    /// The request is invalid.
     Malformed(&'static str),
 }
 
-/// Answers a request. Dropping the future, as when the client closes the connection, gives slot
-/// and queue place back.
-pub(super) async fn serve(server: &Arc<Server>, request: Request) -> Outcome {
+/// Processes one request. Dropping the returned future, as happens when the client closes the
+/// connection, frees the request's slot or place in the queue.
+pub(super) async fn serve_request(server: &Arc<Server>, request: Request) -> ServeResult {
     if request.id.is_empty() {
-        return Outcome::Malformed("id: is empty");
+        return ServeResult::Malformed("id: is empty");
     }
     if server.state().fault.failing {
-        return Outcome::Failure("told to fail");
+        return ServeResult::Failure("told to fail");
     }
-    if let Some(reason) = server.refusal(&request) {
-        return refuse(server, request, reason);
+    if let Some(reason) = server.refusal_reason(&request) {
+        return build_refusal(server, request, reason);
     }
-    let Some(open) = Open::new(server, &request.id) else {
-        return Outcome::Malformed("id: another request with it is open");
+    let Some(open_request) = OpenRequest::new(server, &request.id) else {
+        return ServeResult::Malformed("id: another request with it is open");
     };
-    match wait(server, &request, &open).await {
-        Ok(slot) => run(server, request, &open, slot).await,
-        Err(reason) => refuse(server, request, reason),
+    match wait_for_slot(server, &request, &open_request).await {
+        Ok(slot) => execute(server, request, &open_request, slot).await,
+        Err(reason) => build_refusal(server, request, reason),
     }
 }
 
-/// Cancels an open request; any other identifier is ignored.
+/// Cancels the open request with this identifier. An identifier without an open request is ignored.
 pub(super) fn cancel(server: &Server, id: &str) {
-    if let Some(cancelled) = server.state().open.get(id) {
-        // Keeps until it is waited for, so that a cancellation between queue and service counts.
-        cancelled.notify_one();
+    if let Some(cancel_signal) = server.state().cancel_signals.get(id) {
+        // `notify_one` stores the notification until the request waits for it, so that a cancellation
+        // between queue and execution is not lost.
+        cancel_signal.notify_one();
     }
 }
 
-/// A request that can be cancelled.
-struct Open<'a> {
+/// Registration of an open request under its identifier, so that it can be cancelled; removed when
+/// dropped.
+struct OpenRequest<'a> {
     server: &'a Server,
     id: String,
-    cancelled: Arc<Notify>,
+    cancel_signal: Arc<Notify>,
 }
 
-impl<'a> Open<'a> {
-    /// None when the identifier is in use.
+impl<'a> OpenRequest<'a> {
+    /// Registers a request. Returns `None` when another open request has the identifier.
     fn new(server: &'a Server, id: &str) -> Option<Self> {
-        let cancelled = Arc::new(Notify::new());
+        let cancel_signal = Arc::new(Notify::new());
         let mut state = server.state();
-        if state.open.contains_key(id) {
+        if state.cancel_signals.contains_key(id) {
             return None;
         }
-        state.open.insert(id.to_owned(), Arc::clone(&cancelled));
+        state.cancel_signals.insert(id.to_owned(), Arc::clone(&cancel_signal));
         drop(state);
-        Some(Self { server, id: id.to_owned(), cancelled })
+        Some(Self { server, id: id.to_owned(), cancel_signal })
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        self.server.state().open.remove(&self.id);
+        self.server.state().cancel_signals.remove(&self.id);
     }
 }
 
-/// A place in the queue.
-struct Place<'a> {
+/// QueuePlace of a request in the server's queue; freed when dropped.
+struct QueuePlace<'a> {
     server: &'a Server,
 }
 
-impl<'a> Place<'a> {
-    /// None when the queue is full.
+impl<'a> QueuePlace<'a> {
+    /// Takes a place in the queue. Returns `None` when the queue is full.
     fn new(server: &'a Server) -> Option<Self> {
         let mut state = server.state();
-        if state.waiting >= server.settings().queue {
+        if state.queued >= server.settings().queue {
             return None;
         }
-        state.waiting += 1;
+        state.queued += 1;
         Some(Self { server })
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for QueuePlace<'_> {
     fn drop(&mut self) {
-        self.server.state().waiting -= 1;
+        self.server.state().queued -= 1;
     }
 }
 
-/// Waits for a slot; the error says why the request does not get one.
-async fn wait<'a>(
+/// Waits for a free slot. On failure, the error is the reason why the request gets no slot.
+async fn wait_for_slot<'a>(
     server: &'a Server,
     request: &Request,
-    open: &Open<'_>,
+    open_request: &OpenRequest<'_>,
 ) -> Result<SemaphorePermit<'a>, Reason> {
     if let Ok(slot) = server.slots.try_acquire() {
         return Ok(slot);
     }
-    let _place = Place::new(server).ok_or(Reason::TargetShed)?;
+    let _place = QueuePlace::new(server).ok_or(Reason::TargetShed)?;
     let deadline = Duration::from_millis(request.deadline_ms.into());
     tokio::select! {
         biased;
-        () = open.cancelled.notified() => Err(Reason::Cancelled),
+        () = open_request.cancel_signal.notified() => Err(Reason::Cancelled),
         () = sleep(deadline) => Err(Reason::Cancelled),
         slot = server.slots.acquire() => slot.map_err(|_| Reason::TargetShed),
     }
 }
 
-/// Work in a slot; accounts for its time when dropped.
-struct Work<'a> {
+/// Execution of a request in a slot; adds its time to the server's busy time when dropped.
+struct Execution<'a> {
     server: &'a Server,
-    begun: Instant,
+    started_at: Instant,
     _slot: SemaphorePermit<'a>,
 }
 
-impl<'a> Work<'a> {
-    /// Records the execution and draws its service time.
+impl<'a> Execution<'a> {
+    /// Records the execution in the ledger and returns it with the duration to sleep as service time.
     fn new(server: &'a Server, request: &Request, slot: SemaphorePermit<'a>) -> (Self, Duration) {
         let mut state = server.state();
         state.executions.record(request);
         state.calls += 1;
         state.in_service += 1;
         let factor = server.slowdown(&state);
-        let time = state.clock.draw(factor);
-        let time = state.clock.shorten(time);
-        let work = Self { server, begun: Instant::now(), _slot: slot };
-        (work, time)
+        let time = state.service_times.sample(factor);
+        let time = state.service_times.compensate(time);
+        let execution = Self { server, started_at: Instant::now(), _slot: slot };
+        (execution, time)
     }
 
-    /// It was served to the end, which should have taken `time`.
-    fn served(&self, time: Duration) {
-        let late = self.begun.elapsed().saturating_sub(time);
-        self.server.state().clock.overslept(late);
+    /// Records that the execution completed. It should have taken `planned_time`; the excess is lateness.
+    fn record_completion(&self, planned_time: Duration) {
+        let lateness = self.started_at.elapsed().saturating_sub(planned_time);
+        self.server.state().service_times.record_lateness(lateness);
     }
 }
 
-impl Drop for Work<'_> {
+impl Drop for Execution<'_> {
     fn drop(&mut self) {
         let mut state = self.server.state();
         state.in_service -= 1;
-        state.busy += self.begun.elapsed();
+        state.busy_time += self.started_at.elapsed();
     }
 }
 
-async fn run(
+async fn execute(
     server: &Arc<Server>,
     request: Request,
-    open: &Open<'_>,
+    open_request: &OpenRequest<'_>,
     slot: SemaphorePermit<'_>,
-) -> Outcome {
-    let (work, time) = Work::new(server, &request, slot);
-    if let Some(down) = server.ends_at(&request) {
-        server.end_for(down);
-        // Its connections end with it, before anything is answered.
+) -> ServeResult {
+    let (execution, time) = Execution::new(server, &request, slot);
+    if let Some(down) = server.crash_duration(&request) {
+        server.crash_for(down);
+        // The crash closes the server's connections before any answer is sent.
         return std::future::pending().await;
     }
     tokio::select! {
         biased;
-        () = open.cancelled.notified() => return Outcome::Failure("cancelled in service"),
+        () = open_request.cancel_signal.notified() => return ServeResult::Failure("cancelled in service"),
         () = sleep(time) => {}
     }
-    work.served(time);
-    drop(work);
+    execution.record_completion(time);
+    drop(execution);
     if server.state().fault.silent {
-        open.cancelled.notified().await;
-        return Outcome::Failure("cancelled without an answer");
+        open_request.cancel_signal.notified().await;
+        return ServeResult::Failure("cancelled without an answer");
     }
-    Outcome::Answer(answer(request))
+    ServeResult::Answer(build_answer(request))
 }
 
-fn answer(request: Request) -> Answer {
+fn build_answer(request: Request) -> Answer {
     let parts = request.shards.into_iter().map(|shard| {
         let (index, version) = (&request.index, request.version);
         let body = answer::body(index, version, &shard, &request.key, &request.payload);
@@ -200,19 +202,19 @@
     }
 }
 
-fn refuse(server: &Server, request: Request, reason: Reason) -> Outcome {
+fn build_refusal(server: &Server, request: Request, reason: Reason) -> ServeResult {
     let retry_after_ms = match reason {
         Reason::TargetShed => backlog_ms(server),
         _ => 0,
     };
-    Outcome::Refusal(Refusal { id: request.id, reason: reason.into(), retry_after_ms })
+    ServeResult::Refusal(Refusal { id: request.id, reason: reason.into(), retry_after_ms })
 }
 
-/// Milliseconds of work in the queue; at least 1.
+/// Returns the expected time to work off the queue, in milliseconds; at least 1.
 fn backlog_ms(server: &Server) -> u32 {
     let settings = server.settings();
     let slots = settings.server.as_ref().map_or(1, |server| server.slots);
-    let waiting = server.state().waiting;
-    let backlog_us = u64::from(waiting) * u64::from(settings.service_us) / u64::from(slots.max(1));
+    let queued = server.state().queued;
+    let backlog_us = u64::from(queued) * u64::from(settings.service_us) / u64::from(slots.max(1));
     u32::try_from(backlog_us / 1000).unwrap_or(u32::MAX).max(1)
 }
