--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -19,8 +19,8 @@
 /// HTTP response of a stand-in.
 pub(crate) type Reply = Response<BoxBody>;
 
-/// Time after which a stand-in closes an idle connection: longer than any test or experiment, so that
-/// only clients close idle connections.
+/// Time after which a stand-in closes an idle connection: longer than any test or experiment, so
+/// that only clients close idle connections.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(1800);
 
 /// Maximum size of a request body, in bytes.
--- a/crates/standin/src/layout.rs
+++ b/crates/standin/src/layout.rs
@@ -61,8 +61,8 @@
 }
 
 impl Layout {
-    /// Creates a layout with the user's current sizes, three instances, two target processes, a mean
-    /// service time of 10 ms and 1% stragglers with a service time ten times as long.
+    /// Creates a layout with the user's current sizes, three instances, two target processes, a
+    /// mean service time of 10 ms and 1% stragglers with a service time ten times as long.
     pub fn new(user: User) -> Self {
         Self {
             user,
@@ -115,8 +115,8 @@
         self
     }
 
-    /// Sets the factor by which the number of services of each numbered group is multiplied, 0.01 to
-    /// 10.
+    /// Sets the factor by which the number of services of each numbered group is multiplied, 0.01
+    /// to 10.
     #[must_use]
     pub fn scale(mut self, scale: f64) -> Self {
         self.scale = scale;
@@ -184,7 +184,8 @@
         Ok(Plan { platform, targets, instances, run })
     }
 
-    /// Writes the settings of [`Layout::plan`] into a folder, which is created if it does not exist.
+    /// Writes the settings of [`Layout::plan`] into a folder, which is created if it does not
+    /// exist.
     ///
     /// # Errors
     ///
--- a/crates/standin/src/layout/port.rs
+++ b/crates/standin/src/layout/port.rs
@@ -4,8 +4,8 @@
 
 use crate::settings::Error;
 
-/// Finds free TCP ports. Each port stays reserved by a listener until this value is dropped, so that
-/// no port is returned twice.
+/// Finds free TCP ports. Each port stays reserved by a listener until this value is dropped, so
+/// that no port is returned twice.
 pub(super) struct Ports {
     address: IpAddr,
     reserved: Vec<TcpListener>,
--- a/crates/standin/src/layout/records.rs
+++ b/crates/standin/src/layout/records.rs
@@ -14,8 +14,8 @@
 /// Extra calls allowed per 100 first calls of a service.
 const EXTRA_CALLS_PERCENT: u32 = 5;
 
-/// Creates the records of the catalogue entries, indexes, servers and instances, with revisions from
-/// 1.
+/// Creates the records of the catalogue entries, indexes, servers and instances, with revisions
+/// from 1.
 pub(super) fn initial_records(
     sizes: &Sizes,
     servers: &[Server],
--- a/crates/standin/src/layout/user.rs
+++ b/crates/standin/src/layout/user.rs
@@ -28,8 +28,8 @@
 pub struct ServiceGroup {
     /// Name of the group and of its index.
     pub name: &'static str,
-    /// Whether the group's services are numbered from 01. Otherwise the group has one service, which
-    /// has the name of the group.
+    /// Whether the group's services are numbered from 01. Otherwise the group has one service,
+    /// which has the name of the group.
     pub numbered: bool,
     /// Number of services in the group, each with one shard.
     ///
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Returns the user's current sizes. In numbered groups, the number of services is multiplied by
-    /// `scale`; at least one service remains.
+    /// Returns the user's current sizes. In numbered groups, the number of services is multiplied
+    /// by `scale`; at least one service remains.
     pub fn sizes(self, scale: f64) -> Sizes {
         let (owner, zones, groups) = match self {
             Self::Porto => ("smpc-porto", PORTO_ZONES, PORTO_GROUPS),
@@ -96,7 +96,7 @@
 }
 
 impl Sizes {
-    /// Returns, per service, the time to establish a connection to its replicas, in milliseconds.
+    /// Returns, per service, the time to establish a connection to its servers, in milliseconds.
     pub(super) fn connect_ms(&self) -> Map<String, u32> {
         let groups = self.groups.iter();
         let connect_times = groups.flat_map(|group| {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
 //! Stand-ins (test doubles) for the platform and the targets, for tests, experiments and
 //! demonstrations.
 //!
-//! No product code depends on this crate. It provides three binaries and, for integration tests, the
-//! same functions as a library:
+//! No product code depends on this crate. It provides three binaries and, for integration tests,
+//! the same functions as a library:
 //!
 //! - [`target`] serves many targets in one process, each on its own port;
 //! - [`platform`] serves published records for reads and watches;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -3,8 +3,8 @@
 //!
 //! `GET /v1/records?after=REVISION&wait_ms=MS` returns the records above a revision. When there are
 //! none, the response waits up to the given time for a publication. Operators publish records with
-//! `POST /admin/publish`, choose a failure mode with `POST /admin/mode` and read the number of calls
-//! with `GET /admin/counts`.
+//! `POST /admin/publish`, choose a failure mode with `POST /admin/mode` and read the number of
+//! calls with `GET /admin/counts`.
 
 mod store;
 
@@ -87,7 +87,8 @@
 
 struct PlatformService {
     state: Mutex<PlatformState>,
-    /// Counter that grows with every publication and change of mode, which wakes the waiting watches.
+    /// Counter that grows with every publication and change of mode, which wakes the waiting
+    /// watches.
     changes: watch::Sender<u64>,
 }
 
@@ -174,8 +175,8 @@
 }
 
 impl PlatformState {
-    /// Sets the failure mode. When the mode was stale already and stays stale, the existing snapshot is
-    /// kept.
+    /// Sets the failure mode. When the mode was stale already and stays stale, the existing
+    /// snapshot is kept.
     fn set_mode(&mut self, mode: Mode) {
         self.snapshot = match self.snapshot.take() {
             _ if !mode.stale => None,
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -60,8 +60,8 @@
 ///
 /// # Errors
 ///
-/// [`Error::Read`] when the file cannot be read, [`Error::Json`] when its content does not match the
-/// schema.
+/// [`Error::Read`] when the file cannot be read, [`Error::Json`] when its content does not match
+/// the schema.
 pub fn load<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
     let text = fs::read_to_string(path)
         .map_err(|cause| Error::Read { path: path.display().to_string(), cause })?;
--- a/crates/standin/src/target/api.rs
+++ b/crates/standin/src/target/api.rs
@@ -53,8 +53,8 @@
         let _ = http_service.call((stream, None)).await;
     };
     tokio::select! {
-        // Checks first whether the server is dead. Otherwise, if a request arrives after the fault was
-        // set and both are ready before this task runs, the request could still be served.
+        // Checks first whether the server is dead. Otherwise, if a request arrives after the fault
+        // was set and both are ready before this task runs, the request could still be served.
         biased;
         () = server.wait_until_dead() => {}
         () = serve_http => {}
@@ -82,14 +82,14 @@
     match work::serve_request(server, query).await {
         ServeResult::Answer(answer) => http::json_response(StatusCode::OK, &answer),
         ServeResult::Refusal(refusal) => {
-            http::json_response(refusal_status(refusal.reason()), &refusal)
+            http::json_response(http_status(refusal.reason()), &refusal)
         }
         ServeResult::Failure(text) => http::text_response(StatusCode::INTERNAL_SERVER_ERROR, text),
         ServeResult::Malformed(text) => http::text_response(StatusCode::BAD_REQUEST, text),
     }
 }
 
-fn refusal_status(reason: Reason) -> StatusCode {
+fn http_status(reason: Reason) -> StatusCode {
     match reason {
         Reason::VersionRetired => StatusCode::CONFLICT,
         _ => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/standin/src/target/server.rs
+++ b/crates/standin/src/target/server.rs
@@ -137,8 +137,8 @@
         state.fault = fault;
     }
 
-    /// Returns how long the server is down if executing this request crashes it, or `None` if it does
-    /// not.
+    /// Returns how long the server is down if executing this request crashes it, or `None` if it
+    /// does not.
     pub(super) fn crash_duration(&self, request: &Request) -> Option<Duration> {
         let fault = &self.state().fault;
         let crashes = !fault.ends_at.is_empty() && fault.ends_at == request.payload;
@@ -156,8 +156,8 @@
         });
     }
 
-    /// Returns the reason for which the server refuses the request in its current state, or `None` if
-    /// it accepts the request.
+    /// Returns the reason for which the server refuses the request in its current state, or `None`
+    /// if it accepts the request.
     pub(super) fn refusal_reason(&self, request: &Request) -> Option<Reason> {
         let state = self.state();
         if state.fault.shedding {
@@ -181,8 +181,8 @@
         slowdown
     }
 
-    /// Returns the load that the server reports. Under the faults `lying` and `failing` it reports an
-    /// idle server.
+    /// Returns the load that the server reports. Under the faults `lying` and `failing` it reports
+    /// an idle server.
     pub(super) fn load(&self) -> Load {
         let state = self.state();
         let reports_idle = state.fault.lying || state.fault.failing;
--- a/crates/standin/src/target/service.rs
+++ b/crates/standin/src/target/service.rs
@@ -1,5 +1,5 @@
-//! Service times of a stand-in server: exponentially distributed, with stragglers, and corrected for
-//! late timers so that the mean is exact.
+//! Service times of a stand-in server: exponentially distributed, with stragglers, and corrected
+//! for late timers so that the mean is exact.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 /// Generator of one server's random service times.
 ///
 /// Timers fire up to 2 ms late. Uncorrected, the lateness would lower the capacity of a server with
-/// short service times. The lateness of each sleep is therefore subtracted from the following sleeps,
-/// so that the mean service time equals the setting.
+/// short service times. The lateness of each sleep is therefore subtracted from the following
+/// sleeps, so that the mean service time equals the setting.
 #[derive(Debug)]
 pub(super) struct ServiceTimes {
     random: StdRng,
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -48,8 +48,8 @@
 /// Cancels the open request with this identifier. An identifier without an open request is ignored.
 pub(super) fn cancel(server: &Server, id: &str) {
     if let Some(cancel_signal) = server.state().cancel_signals.get(id) {
-        // `notify_one` stores the notification until the request waits for it, so that a cancellation
-        // between queue and execution is not lost.
+        // `notify_one` stores the notification until the request waits for it, so that a
+        // cancellation between queue and execution is not lost.
         cancel_signal.notify_one();
     }
 }
@@ -132,7 +132,8 @@
 }
 
 impl<'a> Execution<'a> {
-    /// Records the execution in the ledger and returns it with the duration to sleep as service time.
+    /// Records the execution in the ledger and returns it with the duration to sleep as service
+    /// time.
     fn new(server: &'a Server, request: &Request, slot: SemaphorePermit<'a>) -> (Self, Duration) {
         let mut state = server.state();
         state.executions.record(request);
@@ -145,7 +146,8 @@
         (execution, time)
     }
 
-    /// Records that the execution completed. It should have taken `planned_time`; the excess is lateness.
+    /// Records that the execution completed. It should have taken `planned_time`; the excess is
+    /// lateness.
     fn record_completion(&self, planned_time: Duration) {
         let lateness = self.started_at.elapsed().saturating_sub(planned_time);
         self.server.state().service_times.record_lateness(lateness);
--- a/crates/standin/tests/standin/client.rs
+++ b/crates/standin/tests/standin/client.rs
@@ -1,4 +1,4 @@
-//! Client of the stand-ins and settings of small ones.
+//! Test client of the stand-ins, and settings of small stand-ins.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -12,10 +12,11 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Slows a server of 1 ms down so much that no request ends by itself during a test.
-pub(crate) const ENDLESS: u32 = 1_000_000;
+/// Slowdown factor with which no request of a server with 1 ms service time completes during a
+/// test.
+pub(crate) const ENDLESS_SLOWDOWN: u32 = 1_000_000;
 
-/// Status and body of a response.
+/// Status and body of an HTTP response.
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) body: Vec<u8>,
@@ -28,18 +29,18 @@
     }
 }
 
-/// Runs a test that needs the runtime.
-pub(crate) fn run(test: impl Future<Output = ()>) {
+/// Runs an asynchronous test on a new actix runtime.
+pub(crate) fn run_async(test: impl Future<Output = ()>) {
     actix_rt::System::new().block_on(test);
 }
 
-/// HTTP client; each has connections of its own.
-pub(crate) fn client() -> awc::Client {
+/// Creates an HTTP client with its own connections.
+pub(crate) fn new_client() -> awc::Client {
     awc::Client::builder().timeout(Duration::from_secs(60)).finish()
 }
 
-/// A request whose connection may break.
-pub(crate) async fn attempt<T: Serialize>(
+/// Sends a request with a JSON body. Returns `None` when the connection breaks.
+pub(crate) async fn try_request<T: Serialize>(
     client: &awc::Client,
     method: &str,
     url: &str,
@@ -54,59 +55,61 @@
 }
 
 pub(crate) async fn get(url: &str) -> Reply {
-    attempt(&client(), "GET", url, &()).await.expect("answered")
+    try_request(&new_client(), "GET", url, &()).await.expect("answered")
 }
 
 pub(crate) async fn post<T: Serialize>(url: &str, body: &T) -> Reply {
-    attempt(&client(), "POST", url, body).await.expect("answered")
+    try_request(&new_client(), "POST", url, body).await.expect("answered")
 }
 
-/// IP number and port that are free.
-pub(crate) fn address() -> String {
+/// Returns an IP address and port that are free at the time of the call.
+pub(crate) fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("an address").to_string()
 }
 
-/// Starts a stand-in. A free port may be taken by another test before the stand-in listens on it,
-/// which shows as a mistake in an address; then others are tried.
-pub(crate) fn started<T>(start: impl Fn() -> Result<T, Error>) -> T {
-    let mut tries = (0..20).map(|_| start());
-    tries.find_map(Result::ok).expect("free ports")
+/// Starts a stand-in, with up to 20 attempts. Another test may take a free port before the stand-in
+/// listens on it; `start` then fails with an error for the address, and is called again to try
+/// other ports.
+pub(crate) fn start_with_retries<T>(start: impl Fn() -> Result<T, Error>) -> T {
+    let mut attempts = (0..20).map(|_| start());
+    attempts.find_map(Result::ok).expect("free ports")
 }
 
-/// Waits for a condition; fails after a minute.
-pub(crate) async fn eventually(what: &str, condition: impl AsyncFn() -> bool) {
+/// Waits until a condition holds, checked every 10 ms. Panics after 6000 checks, about one minute.
+pub(crate) async fn wait_until(description: &str, condition: impl AsyncFn() -> bool) {
     for _ in 0..6000 {
         if condition().await {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("{what} did not come");
+    panic!("{description} did not come");
 }
 
-/// Two running servers of one slot, two queue places and eight connections, `s-1` and `s-2`.
-pub(crate) struct Pair {
+/// Two running stand-in servers, `s-1` and `s-2`, each with one slot, a queue of two requests and a
+/// limit of eight connections.
+pub(crate) struct ServerPair {
     pub(crate) settings: Targets,
     _process: Process,
 }
 
-impl Pair {
+impl ServerPair {
     pub(crate) fn start() -> Self {
-        started(|| {
+        start_with_retries(|| {
             let settings = Targets {
-                targets: ["s-1", "s-2"].map(small).to_vec(),
+                targets: ["s-1", "s-2"].map(small_target).to_vec(),
                 seed: 7,
-                admin_address: address(),
+                admin_address: free_address(),
                 threads: 2,
             };
-            let copy = settings.clone();
-            let process = Process::start(move || target::start(&copy))?;
+            let target_settings = settings.clone();
+            let process = Process::start(move || target::start(&target_settings))?;
             Ok(Self { settings, _process: process })
         })
     }
 
-    /// URL at the first server.
+    /// Returns the URL of a path at the first server.
     pub(crate) fn url(&self, path: &str) -> String {
         self.url_of(0, path)
     }
@@ -120,41 +123,41 @@
         format!("{}{path}", self.settings.admin_address)
     }
 
-    /// Sets the fault of the first server.
-    pub(crate) async fn fault(&self, fault: Fault) {
+    /// Sets the faults of the first server.
+    pub(crate) async fn set_fault(&self, fault: Fault) {
         let reply = post(&self.admin("/admin/fault?server=s-1"), &fault).await;
         assert_eq!(reply.status, 200);
     }
 
-    /// Ledger of the first server.
+    /// Returns the ledger of the first server.
     pub(crate) async fn ledger(&self) -> Ledger {
         get(&self.admin("/admin/ledger?server=s-1")).await.json()
     }
 
     pub(crate) async fn load(&self) -> Load {
-        let reply = attempt(&client(), "GET", &self.url("/load"), &()).await;
+        let reply = try_request(&new_client(), "GET", &self.url("/load"), &()).await;
         reply.map(|reply| reply.json()).unwrap_or_default()
     }
 
-    /// Sends a query to the first server in the background.
+    /// Sends a query to the first server in a background task.
     pub(crate) fn send(
         &self,
         id: &str,
         deadline_ms: u32,
     ) -> actix_rt::task::JoinHandle<Option<Reply>> {
         let url = self.url("/query");
-        let request = Request { deadline_ms, ..request(id) };
-        actix_rt::spawn(async move { attempt(&client(), "POST", &url, &request).await })
+        let request = Request { deadline_ms, ..query_request(id) };
+        actix_rt::spawn(async move { try_request(&new_client(), "POST", &url, &request).await })
     }
 }
 
-/// A target with mean service time of 1 ms.
-pub(crate) fn small(name: &str) -> Target {
+/// Settings of a target with one slot and a mean service time of 1 ms.
+pub(crate) fn small_target(name: &str) -> Target {
     Target {
         server: Some(Server {
             name: name.to_owned(),
             service: "s".to_owned(),
-            address: address(),
+            address: free_address(),
             incarnation: 1,
             slots: 1,
             connections: 8,
@@ -167,8 +170,8 @@
     }
 }
 
-/// A request with a key like its identifier.
-pub(crate) fn request(id: &str) -> Request {
+/// Creates a request whose key is derived from its identifier.
+pub(crate) fn query_request(id: &str) -> Request {
     Request {
         id: id.to_owned(),
         key: format!("key-{id}"),
--- a/crates/standin/tests/standin/connections.rs
+++ b/crates/standin/tests/standin/connections.rs
@@ -1,4 +1,4 @@
-//! The connection limit, seen from outside.
+//! Tests of the connection limit and of dead servers, over real connections.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -6,19 +6,20 @@
 
 use ladder_schema::standin::Fault;
 
-use crate::client::{Pair, eventually, run};
+use crate::client::{ServerPair, run_async, wait_until};
 
-const LIMIT: usize = 8;
+/// Connection limit of each server of a [`ServerPair`].
+const CONNECTION_LIMIT: usize = 8;
 
-fn connect(pair: &Pair) -> TcpStream {
+fn connect(pair: &ServerPair) -> TcpStream {
     let stream = TcpStream::connect(pair.url("")).expect("a listening server");
     let timeout = Some(Duration::from_secs(60));
     stream.set_read_timeout(timeout).expect("a timeout");
     stream
 }
 
-/// Asks for the load on a connection; false when the server closed it instead.
-fn served(stream: &mut TcpStream) -> bool {
+/// Requests the load on a connection. Returns false when the server closes the connection instead.
+fn is_served(stream: &mut TcpStream) -> bool {
     let request = b"GET /load HTTP/1.1\r\nhost: s\r\n\r\n";
     if stream.write_all(request).is_err() {
         return false;
@@ -30,47 +31,48 @@
     }
 }
 
-/// Instances that hold more connections than a server allows would see some of them closed, and
-/// the experiment must report it. Open as many as allowed, one more, give one back, open one.
-/// Operators look at the ledger all the while and must not take a place.
+/// Guards against a connection limit that is not enforced or whose violation is not counted, so
+/// that an experiment would not report instances that open too many connections. Reading the ledger
+/// must not use one of the server's connections.
 #[test]
-fn a_connection_beyond_the_limit_is_closed_and_counted() {
-    run(async {
-        let pair = Pair::start();
-        let mut open: Vec<TcpStream> = (0..LIMIT).map(|_| connect(&pair)).collect();
-        assert!(open.iter_mut().all(served), "within the limit");
-        assert!(!served(&mut connect(&pair)), "beyond the limit");
+fn connection_beyond_limit_is_closed_and_counted() {
+    run_async(async {
+        let pair = ServerPair::start();
+        let mut open: Vec<TcpStream> = (0..CONNECTION_LIMIT).map(|_| connect(&pair)).collect();
+        assert!(open.iter_mut().all(is_served), "within the limit");
+        assert!(!is_served(&mut connect(&pair)), "beyond the limit");
 
         let ledger = pair.ledger().await;
         assert_eq!(ledger.peak_connections, 8);
         assert_eq!(ledger.refused_connections, 1);
 
         open.pop();
-        eventually("the freed place", async || served(&mut connect(&pair))).await;
+        wait_until("the freed place", async || is_served(&mut connect(&pair))).await;
         assert_eq!(pair.ledger().await.peak_connections, 8);
     });
 }
 
-/// A server dies without a word: its connections break in the middle of a request, new ones are
-/// closed, and its successor at the same address is another incarnation. Neither the break nor
-/// the closing counts as a connection beyond the limit.
+/// A server that becomes dead closes its connections, also during a request, and every new one.
+/// When it is alive again at the same address, it has a new incarnation. None of these closed
+/// connections may count as a connection beyond the limit.
 #[test]
-fn a_dead_server_closes_connections_and_returns_as_a_new_incarnation() {
-    run(async {
-        let pair = Pair::start();
+fn dead_server_closes_connections_and_restarts_with_new_incarnation() {
+    run_async(async {
+        let pair = ServerPair::start();
         let mut idle = connect(&pair);
-        assert!(served(&mut idle));
-        pair.fault(Fault { slowdown: crate::client::ENDLESS, ..Fault::default() }).await;
+        assert!(is_served(&mut idle));
+        pair.set_fault(Fault { slowdown: crate::client::ENDLESS_SLOWDOWN, ..Fault::default() })
+            .await;
         let busy = pair.send("1", 60_000);
-        eventually("service", async || pair.load().await.in_service == 1).await;
+        wait_until("service", async || pair.load().await.in_service == 1).await;
 
-        pair.fault(Fault { dead: true, ..Fault::default() }).await;
+        pair.set_fault(Fault { dead: true, ..Fault::default() }).await;
         assert!(busy.await.expect("no panic").is_none(), "request cut");
-        assert!(!served(&mut idle), "idle connection closed");
-        assert!(!served(&mut connect(&pair)), "new connection closed");
+        assert!(!is_served(&mut idle), "idle connection closed");
+        assert!(!is_served(&mut connect(&pair)), "new connection closed");
         assert_eq!(pair.ledger().await.refused_connections, 0);
 
-        pair.fault(Fault::default()).await;
+        pair.set_fault(Fault::default()).await;
         let load = pair.load().await;
         assert_eq!((load.incarnation, load.in_service), (2, 0));
     });
--- a/crates/standin/tests/standin/layout.rs
+++ b/crates/standin/tests/standin/layout.rs
@@ -1,4 +1,5 @@
-//! The layout has the sizes of the brief, and its files load.
+//! Tests that a layout has the sizes specified in the users' brief and that its files can be
+//! loaded.
 
 use std::path::Path;
 
@@ -12,40 +13,41 @@
 use ladder_standin::layout::{Layout, Plan};
 use ladder_standin::settings;
 
-/// A row of the brief's "Sizes of today": group, services, servers of each, then of each server
-/// slots, connections and milliseconds to connect.
-struct Size(&'static str, usize, usize, u32, u32, u32);
+/// A row of the table "Sizes of today" in the users' brief: group, number of services, servers per
+/// service, and per server the slots, connection limit and connection setup time in milliseconds.
+struct GroupSizes(&'static str, usize, usize, u32, u32, u32);
 
-struct Brief {
+/// Sizes of one user in the users' brief.
+struct UserSizes {
     user: User,
     zones: usize,
-    sizes: [Size; 4],
+    sizes: [GroupSizes; 4],
 }
 
-const BRIEF: [Brief; 2] = [
-    Brief {
+const BRIEF_SIZES: [UserSizes; 2] = [
+    UserSizes {
         user: User::Porto,
         zones: 3,
         sizes: [
-            Size("gate-finder", 20, 2, 2, 25, 6),
-            Size("patrol-rounds", 30, 2, 2, 25, 6),
-            Size("subscriber-desk", 1, 3, 6, 100, 1),
-            Size("tariff-board", 1, 3, 6, 100, 1),
+            GroupSizes("gate-finder", 20, 2, 2, 25, 6),
+            GroupSizes("patrol-rounds", 30, 2, 2, 25, 6),
+            GroupSizes("subscriber-desk", 1, 3, 6, 100, 1),
+            GroupSizes("tariff-board", 1, 3, 6, 100, 1),
         ],
     },
-    Brief {
+    UserSizes {
         user: User::Bagmati,
         zones: 4,
         sizes: [
-            Size("counter-desk", 20, 2, 2, 25, 6),
-            Size("ledger-sync", 30, 2, 2, 25, 6),
-            Size("member-portal", 1, 5, 2, 35, 1),
-            Size("report-desk", 1, 4, 2, 35, 1),
+            GroupSizes("counter-desk", 20, 2, 2, 25, 6),
+            GroupSizes("ledger-sync", 30, 2, 2, 25, 6),
+            GroupSizes("member-portal", 1, 5, 2, 35, 1),
+            GroupSizes("report-desk", 1, 4, 2, 35, 1),
         ],
     },
 ];
 
-/// What a plan publishes.
+/// Servers, indexes and catalogue entries that a plan publishes.
 #[derive(Default)]
 struct Published<'a> {
     servers: Vec<&'a Server>,
@@ -66,19 +68,19 @@
     published
 }
 
-fn check_size(plan: &Plan, size: &Size) {
-    let &Size(group, services, replicas, slots, connections, connect_ms) = size;
+fn check_group_sizes(plan: &Plan, size: &GroupSizes) {
+    let &GroupSizes(group, services, replicas, slots, connections, connect_ms) = size;
     let Published { servers, indexes, entries } = published(plan);
     let index = indexes.iter().find(|index| index.name == group);
     let index = index.expect("an index for each group");
     assert_eq!(index.shards.len(), services, "{group}");
     for shard in &index.shards {
-        let own = servers.iter().filter(|server| server.service == shard.service);
-        let own: Vec<_> = own.collect();
-        assert_eq!(own.len(), replicas, "{}", shard.name);
-        let zones: Set<&str> = own.iter().map(|server| server.zone.as_str()).collect();
+        let replicas_found = servers.iter().filter(|server| server.service == shard.service);
+        let replicas_found: Vec<_> = replicas_found.collect();
+        assert_eq!(replicas_found.len(), replicas, "{}", shard.name);
+        let zones: Set<&str> = replicas_found.iter().map(|server| server.zone.as_str()).collect();
         assert!(zones.len() >= replicas.min(3), "{} in one zone", shard.name);
-        for server in own {
+        for server in replicas_found {
             assert_eq!((server.slots, server.connections), (slots, connections), "{}", server.name);
             let holding = Holding { index: group.to_owned(), version: index.version };
             assert_eq!(server.holdings, [holding]);
@@ -90,7 +92,7 @@
     }
 }
 
-/// A server is served by exactly one process, as it is published.
+/// Checks that exactly one target process serves a server, with the settings that are published.
 fn check_target(plan: &Plan, server: &Server, connect_ms: u32) {
     let targets = plan.targets.iter().flat_map(|targets| &targets.targets);
     let mut targets = targets.filter(|target| target.server.as_ref() == Some(server));
@@ -100,36 +102,39 @@
 }
 
 #[test]
-fn sizes_are_those_of_the_brief() {
-    for brief in &BRIEF {
-        let plan = Layout::new(brief.user).instances(9).plan().expect("a plan");
-        for size in &brief.sizes {
-            check_size(&plan, size);
+fn layout_has_sizes_of_the_brief() {
+    for user_sizes in &BRIEF_SIZES {
+        let plan = Layout::new(user_sizes.user).instances(9).plan().expect("a plan");
+        for size in &user_sizes.sizes {
+            check_group_sizes(&plan, size);
         }
-        let sizes = brief.sizes.iter();
-        let all: usize = sizes.map(|Size(_, services, replicas, ..)| services * replicas).sum();
+        let sizes = user_sizes.sizes.iter();
+        let server_count: usize =
+            sizes.map(|GroupSizes(_, services, replicas, ..)| services * replicas).sum();
         let Published { servers, indexes, .. } = published(&plan);
-        assert_eq!(servers.len(), all);
-        assert_eq!(indexes.len(), brief.sizes.len());
+        assert_eq!(servers.len(), server_count);
+        assert_eq!(indexes.len(), user_sizes.sizes.len());
         let zones: Set<&str> = servers.iter().map(|server| server.zone.as_str()).collect();
-        assert_eq!(zones.len(), brief.zones);
-        let zones: Set<&str> = plan.instances.iter().map(|one| one.zone.as_str()).collect();
-        assert_eq!(zones.len(), brief.zones);
+        assert_eq!(zones.len(), user_sizes.zones);
+        let zones: Set<&str> =
+            plan.instances.iter().map(|instance| instance.zone.as_str()).collect();
+        assert_eq!(zones.len(), user_sizes.zones);
     }
 }
 
 #[test]
-fn revisions_grow_and_no_address_is_given_twice() {
+fn revisions_increase_and_addresses_are_unique() {
     let plan = Layout::new(User::Porto).instances(9).plan().expect("a plan");
     let records = plan.platform.records.iter();
     let revisions: Vec<u64> = records.map(|record| record.revision).collect();
     assert!(revisions.is_sorted_by(|a, b| a < b));
     let mut addresses: Vec<&str> = vec![&plan.platform.address];
     addresses.extend(published(&plan).servers.iter().map(|server| server.address.as_str()));
-    addresses.extend(plan.targets.iter().map(|one| one.admin_address.as_str()));
+    addresses.extend(plan.targets.iter().map(|process| process.admin_address.as_str()));
     for instance in &plan.instances {
-        let own = [&instance.caller_address, &instance.peer_address, &instance.admin_address];
-        addresses.extend(own.map(String::as_str));
+        let instance_addresses =
+            [&instance.caller_address, &instance.peer_address, &instance.admin_address];
+        addresses.extend(instance_addresses.map(String::as_str));
         assert_eq!(instance.seeds.len(), 3);
         assert!(!instance.seeds.contains(&instance.peer_address));
     }
@@ -138,7 +143,7 @@
 }
 
 #[test]
-fn the_unrepeatable_operations_are_marked() {
+fn unrepeatable_operations_are_marked() {
     let mut unrepeatable = Vec::new();
     for user in [User::Porto, User::Bagmati] {
         let plan = Layout::new(user).scale(0.01).plan().expect("a plan");
@@ -151,7 +156,7 @@
 }
 
 #[test]
-fn the_files_of_a_run_load() {
+fn written_settings_files_can_be_loaded() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join("layout");
     let strategy = Strategy { hedging: Switch::Off.into(), ..Strategy::default() };
     let layout = Layout::new(User::Bagmati).scale(0.1).processes(2);
--- a/crates/standin/tests/standin/main.rs
+++ b/crates/standin/tests/standin/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins through their sockets and files.
+//! Integration tests of the stand-ins over their sockets and settings files.
 
 mod client;
 mod connections;
