--- a/crates/codegen/src/lib.rs
+++ b/crates/codegen/src/lib.rs
@@ -1,7 +1,8 @@
-//! Generates the Rust types of the schema.
+//! Generates the Rust types and the reference page of the Protocol Buffers schema.
 //!
-//! It is run by hand (`cargo run -p ladder-codegen`) and its output is committed, so that a build
-//! needs no generator. A test regenerates into a scratch folder and compares.
+//! The generator is run manually (`cargo run -p ladder-codegen`) and its output is committed, so
+//! that a build does not need to generate code. A test generates the output again into a temporary
+//! folder and compares it with the committed files.
 
 mod reference;
 
@@ -10,7 +11,7 @@
 
 use protox::prost_reflect::prost_types::FileDescriptorSet;
 
-/// Schema files, relative to the schema folder.
+/// Paths of the schema files, relative to the schema folder.
 pub const FILES: [&str; 9] = [
     "ladder/outcome.proto",
     "ladder/catalogue.proto",
@@ -23,7 +24,7 @@
     "ladder/status.proto",
 ];
 
-/// Why generation failed.
+/// Reason why the generation of code failed.
 #[derive(Debug)]
 #[derive(displaydoc::Display)]
 pub enum Error {
@@ -41,34 +42,34 @@
     }
 }
 
-/// Folder of the schema in the repository.
+/// Returns the folder of the schema in the repository.
 pub fn schema_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../schema")
 }
 
-/// Folder of the committed generated code.
+/// Returns the folder of the committed generated code.
 pub fn generated_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../schema/src/generated")
 }
 
-/// The reference page in the repository.
+/// Returns the path of the committed reference page.
 pub fn reference_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/REFERENCE.md")
 }
 
-/// Writes the reference of settings and records to `out`.
+/// Writes the reference page of settings and records to the file `out`.
 ///
 /// # Errors
 ///
-/// As [`generate`].
+/// The same as those of [`generate`].
 pub fn write_reference(schema: &Path, out: &Path) -> Result<(), Error> {
     let files = FILES.map(|file| schema.join(file));
     let descriptors = compile(schema, &files)?;
-    fs::write(out, reference::page(&descriptors))?;
+    fs::write(out, reference::render_page(&descriptors))?;
     Ok(())
 }
 
-/// Compiles the schema, comments included.
+/// Compiles the schema files into descriptors that include the comments.
 fn compile(schema: &Path, files: &[PathBuf]) -> Result<FileDescriptorSet, Error> {
     let mut compiler = protox::Compiler::new([schema]).map_err(Error::Schema)?;
     compiler.include_source_info(true).include_imports(true);
@@ -76,7 +77,8 @@
     Ok(compiler.file_descriptor_set())
 }
 
-/// Generates messages (prost) and their JSON mapping (pbjson) from `schema` into `out`.
+/// Generates message types (prost) and their JSON mapping (pbjson) from the folder `schema` into
+/// the folder `out`.
 ///
 /// # Errors
 ///
@@ -85,13 +87,16 @@
     fs::create_dir_all(out)?;
     let files = FILES.map(|file| schema.join(file));
     let descriptors = compile(schema, &files)?;
-    let bytes = protox::prost::Message::encode_to_vec(&descriptors);
+    let encoded_descriptors = protox::prost::Message::encode_to_vec(&descriptors);
     prost_build::Config::new()
         .bytes(["."])
         .boxed(".ladder.call.Request.message")
         .boxed(".ladder.wire.Work.forward")
         .out_dir(out)
         .compile_fds(descriptors)?;
-    pbjson_build::Builder::new().register_descriptors(&bytes)?.out_dir(out).build(&[".ladder"])?;
+    pbjson_build::Builder::new()
+        .register_descriptors(&encoded_descriptors)?
+        .out_dir(out)
+        .build(&[".ladder"])?;
     Ok(())
 }
--- a/crates/codegen/src/main.rs
+++ b/crates/codegen/src/main.rs
@@ -1,4 +1,4 @@
-//! `ladder-codegen`: regenerates the committed code from the schema.
+//! `ladder-codegen`: generates the committed code and reference page from the schema.
 
 use ladder_codegen::{generate, generated_dir, reference_path, schema_dir, write_reference};
 
--- a/crates/property/src/engine.rs
+++ b/crates/property/src/engine.rs
@@ -1,4 +1,4 @@
-//! Runs a property on inputs that follow from one seed.
+//! Test engine that runs a property on inputs derived from one seed.
 
 use std::fmt::Debug;
 
@@ -7,33 +7,35 @@
 use bolero::generator::bolero_generator::driver::Options;
 use rand_core::{RngCore, SeedableRng};
 
-use crate::input::{Recorded, Replayed};
+use crate::input::{RecordedInput, ReplayedInput};
 
-/// Runs a property on inputs that follow from one seed.
+/// Test engine that runs a property on inputs derived from one seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Engine {
-    first: Seed,
+    first_seed: Seed,
     inputs: usize,
-    /// Random bytes of an input at most; `None`: as many as the generator takes.
-    bytes: Option<usize>,
+    /// Maximum number of random bytes per input. With `None`, a generator may use
+    /// as many as it takes.
+    max_bytes: Option<usize>,
 }
 
 impl Engine {
-    /// An engine that tries so many inputs, the first one of this seed.
-    pub const fn new(first: Seed, inputs: usize) -> Self {
-        Self { first, inputs, bytes: None }
+    /// Creates an engine that tests this number of inputs. `first_seed` is the seed of the first
+    /// input.
+    pub const fn new(first_seed: Seed, inputs: usize) -> Self {
+        Self { first_seed, inputs, max_bytes: None }
     }
 
-    /// Bounds the random bytes of an input.
+    /// Limits the number of random bytes from which an input is generated.
     #[must_use]
-    pub const fn bytes(mut self, bytes: usize) -> Self {
-        self.bytes = Some(bytes);
+    pub const fn bytes(mut self, max_bytes: usize) -> Self {
+        self.max_bytes = Some(max_bytes);
         self
     }
 }
 
-/// The seed of the input after the one of this seed.
-fn next(seed: Seed) -> Seed {
+/// Returns the seed of the next input, derived from the seed of the current one.
+fn next_seed(seed: Seed) -> Seed {
     let mut random = Recommended::from_seed((!seed).to_le_bytes());
     let mut bytes = [0; size_of::<Seed>()];
     random.fill_bytes(&mut bytes);
@@ -48,38 +50,39 @@
     type Output = ();
 
     fn run(self, mut test: T, mut options: Options) -> Self::Output {
-        if let Some(bytes) = self.bytes {
-            options.set_max_len(bytes);
+        if let Some(max_bytes) = self.max_bytes {
+            options.set_max_len(max_bytes);
         }
         panic::set_hook();
         panic::forward_panic(false);
-        let mut seed = self.first;
+        let mut seed = self.first_seed;
         for number in 0..self.inputs {
-            let mut recorded = Recorded::new(seed, &options);
+            let mut recorded = RecordedInput::new(seed, &options);
             if let Err(error) = test.test(&mut recorded) {
-                let failure = shrunk(&mut test, seed, error, &options);
+                let failure = shrunk_failure(&mut test, seed, error, &options);
                 panic::forward_panic(true);
                 panic!(
                     "input {number} fails; it is the first one with BOLERO_RANDOM_SEED={seed}\n\
                      {failure:#}"
                 );
             }
-            seed = next(seed);
+            seed = next_seed(seed);
         }
         panic::forward_panic(true);
     }
 }
 
-/// The failure of the input of a seed, with a smaller input if one is found.
-fn shrunk<T: Test>(
+/// Returns the failure of the input of a seed. If shrinking finds a smaller failing input, the
+/// failure is that of the smaller input.
+fn shrunk_failure<T: Test>(
     test: &mut T,
     seed: Seed,
     error: panic::PanicError,
     options: &Options,
 ) -> Failure<T::Value> {
-    let mut recorded = Recorded::new(seed, options);
+    let mut recorded = RecordedInput::new(seed, options);
     let input = test.generate_value(&mut recorded);
-    let replayed = Replayed(recorded.into_bytes());
-    let smaller = test.shrink(replayed, Some(seed), options);
-    smaller.unwrap_or(Failure { seed: Some(seed), error, input })
+    let replayed = ReplayedInput(recorded.into_bytes());
+    let smaller_failure = test.shrink(replayed, Some(seed), options);
+    smaller_failure.unwrap_or(Failure { seed: Some(seed), error, input })
 }
--- a/crates/property/src/input.rs
+++ b/crates/property/src/input.rs
@@ -1,4 +1,5 @@
-//! Inputs of one seed, and the same again from their bytes.
+//! Test inputs generated from a seed with a record of their random bytes, and inputs replayed from
+//! recorded bytes.
 
 use bolero::bolero_engine::rng::Recommended;
 use bolero::bolero_engine::{Input, Seed, shrink};
@@ -6,14 +7,14 @@
 use bolero::generator::bolero_generator::driver::{Options, Rng};
 use rand_core::{RngCore, SeedableRng};
 
-/// Random numbers with a record of them.
+/// Random number generator that records the bytes it returns.
 #[derive(Debug)]
-pub(crate) struct Recording {
+pub(crate) struct RecordingRng {
     random: Recommended,
     bytes: Vec<u8>,
 }
 
-impl RngCore for Recording {
+impl RngCore for RecordingRng {
     fn next_u32(&mut self) -> u32 {
         let mut bytes = [0; 4];
         self.fill_bytes(&mut bytes);
@@ -32,26 +33,26 @@
     }
 }
 
-/// The input of a seed.
+/// Test input that is generated from a seed and records its random bytes.
 #[derive(Debug)]
-pub(crate) struct Recorded {
-    driver: Rng<Recording>,
+pub(crate) struct RecordedInput {
+    driver: Rng<RecordingRng>,
 }
 
-impl Recorded {
+impl RecordedInput {
     pub(crate) fn new(seed: Seed, options: &Options) -> Self {
         let random = Recommended::from_seed(seed.to_le_bytes());
-        Self { driver: Rng::new(Recording { random, bytes: Vec::new() }, options) }
+        Self { driver: Rng::new(RecordingRng { random, bytes: Vec::new() }, options) }
     }
 
-    /// The random bytes that it was made of so far.
+    /// Returns the random bytes from which the input has been generated so far.
     pub(crate) fn into_bytes(self) -> Vec<u8> {
         self.driver.as_ref().bytes.clone()
     }
 }
 
-impl<Output> Input<Output> for Recorded {
-    type Driver = Rng<Recording>;
+impl<Output> Input<Output> for RecordedInput {
+    type Driver = Rng<RecordingRng>;
 
     fn with_slice<F: FnMut(&[u8]) -> Output>(&mut self, f: &mut F) -> Output {
         let bytes = Vec::<u8>::generate(&mut self.driver).unwrap_or_default();
@@ -63,11 +64,11 @@
     }
 }
 
-/// Recorded bytes as random numbers; zeros when they are used up.
+/// Random number generator that returns recorded bytes, and zeros after the last one.
 #[derive(Debug)]
-pub(crate) struct Replay<'a>(&'a [u8]);
+pub(crate) struct ReplayRng<'a>(&'a [u8]);
 
-impl RngCore for Replay<'_> {
+impl RngCore for ReplayRng<'_> {
     fn next_u32(&mut self) -> u32 {
         let mut bytes = [0; 4];
         self.fill_bytes(&mut bytes);
@@ -81,34 +82,35 @@
     }
 
     fn fill_bytes(&mut self, bytes: &mut [u8]) {
-        let count = self.0.len().min(bytes.len());
-        let (taken, rest) = self.0.split_at(count);
-        bytes[..count].copy_from_slice(taken);
-        bytes[count..].fill(0);
+        let copied_len = self.0.len().min(bytes.len());
+        let (copied, rest) = self.0.split_at(copied_len);
+        bytes[..copied_len].copy_from_slice(copied);
+        bytes[copied_len..].fill(0);
         self.0 = rest;
     }
 }
 
-/// An input made of recorded bytes, which may be changed to find a smaller one.
+/// Test input generated from recorded bytes, which shrinking may change to find a smaller failing
+/// input.
 #[derive(Debug)]
-pub(crate) struct Replayed(pub(crate) Vec<u8>);
+pub(crate) struct ReplayedInput(pub(crate) Vec<u8>);
 
-impl AsRef<Vec<u8>> for Replayed {
+impl AsRef<Vec<u8>> for ReplayedInput {
     fn as_ref(&self) -> &Vec<u8> {
         &self.0
     }
 }
 
-impl AsMut<Vec<u8>> for Replayed {
+impl AsMut<Vec<u8>> for ReplayedInput {
     fn as_mut(&mut self) -> &mut Vec<u8> {
         &mut self.0
     }
 }
 
-impl shrink::Input for Replayed {
-    type Driver<'a> = Rng<Replay<'a>>;
+impl shrink::Input for ReplayedInput {
+    type Driver<'a> = Rng<ReplayRng<'a>>;
 
     fn driver(&self, len: usize, options: &Options) -> Self::Driver<'_> {
-        Rng::new(Replay(&self.0[..len]), options)
+        Rng::new(ReplayRng(&self.0[..len]), options)
     }
 }
--- a/crates/property/src/lib.rs
+++ b/crates/property/src/lib.rs
@@ -1,10 +1,13 @@
-//! Property tests whose inputs all follow from one seed.
+//! Property tests with reproducible inputs: all inputs are derived from one seed.
 //!
-//! The test engine of `bolero` uses a given seed for its first input alone and draws the seeds of all others
-//! from the system, so that no two runs try the same. Here each input has a seed of its own that follows from
-//! the one before: a run repeats, and a failure names the seed with which it repeats alone.
+//! The test engine of `bolero` uses a given seed only for its first input and takes the seeds of
+//! all other inputs from the operating system, so that two runs never test the same inputs. The
+//! engine of this crate derives the seed of each input from the seed of the previous one. A run can
+//! therefore be repeated, and the message of a failure names the seed with which that input can be
+//! repeated alone.
 //!
-//! `BOLERO_RANDOM_SEED` sets the first seed, `BOLERO_RANDOM_ITERATIONS` the number of inputs.
+//! The environment variable `BOLERO_RANDOM_SEED` sets the first seed, `BOLERO_RANDOM_ITERATIONS`
+//! the number of inputs.
 
 mod engine;
 mod input;
@@ -16,32 +19,37 @@
 
 pub use engine::Engine;
 
-/// Seed of the first input where none is set.
-const FIRST: u128 = 1;
+/// Seed of the first input if `BOLERO_RANDOM_SEED` is not set.
+const DEFAULT_FIRST_SEED: u128 = 1;
 
-/// A property to be tested on so many inputs, unless the environment says otherwise.
+/// Creates a property test with this number of inputs.
+///
+/// `BOLERO_RANDOM_ITERATIONS` overrides the number of inputs, `BOLERO_RANDOM_SEED` the first seed.
 pub fn check(inputs: usize) -> TestTarget<ByteSliceGenerator, Engine, BorrowedInput> {
-    TestTarget::new(engine(inputs))
+    TestTarget::new(engine_from_environment(inputs))
 }
 
-/// The same on inputs made of this many random bytes at most.
+/// Creates a property test like [`check`] whose inputs are generated from at most this number of
+/// random bytes.
 pub fn check_short(
     inputs: usize,
     bytes: usize,
 ) -> TestTarget<ByteSliceGenerator, Engine, BorrowedInput> {
-    TestTarget::new(engine(inputs).bytes(bytes))
+    TestTarget::new(engine_from_environment(inputs).bytes(bytes))
 }
 
-/// A property to be tested on the one input of a seed, whatever the environment says: one that failed once.
+/// Creates a property test with the single input of this seed, such as one that failed earlier.
+///
+/// `BOLERO_RANDOM_SEED` and `BOLERO_RANDOM_ITERATIONS` have no effect on this test.
 pub fn replay(seed: u128) -> TestTarget<ByteSliceGenerator, Engine, BorrowedInput> {
     TestTarget::new(Engine::new(seed, 1))
 }
 
-fn engine(inputs: usize) -> Engine {
-    let first = setting("BOLERO_RANDOM_SEED").unwrap_or(FIRST);
-    Engine::new(first, setting("BOLERO_RANDOM_ITERATIONS").unwrap_or(inputs))
+fn engine_from_environment(inputs: usize) -> Engine {
+    let first_seed = environment_value("BOLERO_RANDOM_SEED").unwrap_or(DEFAULT_FIRST_SEED);
+    Engine::new(first_seed, environment_value("BOLERO_RANDOM_ITERATIONS").unwrap_or(inputs))
 }
 
-fn setting<T: FromStr>(name: &str) -> Option<T> {
+fn environment_value<T: FromStr>(name: &str) -> Option<T> {
     env::var(name).ok()?.parse().ok()
 }
--- a/crates/standin/src/layout.rs
+++ b/crates/standin/src/layout.rs
@@ -25,7 +25,7 @@
 const MAX_PROCESSES: u32 = 64;
 /// Length of a server's queue per slot, in requests.
 const QUEUE_PER_SLOT: u32 = 8;
-/// Factor by which the service time of a straggler is longer.
+/// Factor by which the service time of a straggler is multiplied.
 const STRAGGLER_FACTOR: u32 = 10;
 /// Scale at which a run has the user's current sizes.
 const CURRENT_SIZES_SCALE: f64 = 1.0;
@@ -138,7 +138,7 @@
         self
     }
 
-    /// Sets the strategy of the instances.
+    /// Sets the strategy of the instances, such as the selection of servers and hedging.
     #[must_use]
     pub fn strategy(mut self, strategy: Strategy) -> Self {
         self.strategy = strategy;
--- a/crates/standin/src/layout/user.rs
+++ b/crates/standin/src/layout/user.rs
@@ -23,7 +23,7 @@
     pub groups: Vec<ServiceGroup>,
 }
 
-/// ServiceGroup of services with the same sizes, which together serve the shards of one index.
+/// Group of services with the same sizes, which together serve the shards of one index.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceGroup {
     /// Name of the group and of its index.
@@ -131,7 +131,7 @@
         }
     }
 
-    /// ServiceGroup of one service of ordinary urgency with fast connection setup.
+    /// Group of one service of ordinary urgency with fast connection setup.
     const fn single(name: &'static str, replicas: u32) -> Self {
         Self {
             name,
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -49,7 +49,7 @@
         .workers(WORKER_THREADS)
         .shutdown_timeout(1)
         .bind("platform", listen, factory)
-        .map_err(|error| Error::field("address", format!("{listen}: {error}")))?;
+        .map_err(|cause| Error::field("address", format!("{listen}: {cause}")))?;
     Ok(server.run())
 }
 
@@ -87,8 +87,8 @@
 
 struct PlatformService {
     state: Mutex<PlatformState>,
-    /// Counter that grows with every publication and change of mode, which wakes the waiting
-    /// watches.
+    /// Counter that grows with every publication and change of mode. A change of the
+    /// counter wakes the waiting watches.
     changes: watch::Sender<u64>,
 }
 
--- a/crates/standin/src/platform/store.rs
+++ b/crates/standin/src/platform/store.rs
@@ -35,9 +35,9 @@
 /// Published records: the newest record of each key.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Store {
-    /// Highest revision of `records`.
+    /// Highest revision published so far.
     ///
-    /// Invariant: grows with every publication.
+    /// Invariant: equals the highest revision of `records`; grows with every publication.
     head: u64,
     records: Map<Key, Record>,
 }
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -8,12 +8,12 @@
 use crate::settings::Error;
 
 /// Stand-in that runs on its own thread and stops when this value is dropped.
-pub struct Process {
+pub struct StandinThread {
     handle: ServerHandle,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Process {
+impl StandinThread {
     /// Starts the server that `start` creates. Its ports are open when this function returns.
     ///
     /// # Errors
@@ -33,7 +33,7 @@
     }
 }
 
-impl Drop for Process {
+impl Drop for StandinThread {
     fn drop(&mut self) {
         // `stop` sends the stop command when it is called. Its future, which is dropped here, would
         // only wait for completion, and so does the join below.
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -89,11 +89,11 @@
     })
 }
 
-/// Checks that the number in the field named `field` is between `min` and `max`, both included.
-pub(crate) fn check_range(field: &str, value: u32, min: u32, max: u32) -> Result<(), Error> {
-    if (min..=max).contains(&value) {
+/// Checks that the number in the field named `field` is between `least` and `most`, both included.
+pub(crate) fn check_range(field: &str, value: u32, least: u32, most: u32) -> Result<(), Error> {
+    if (least..=most).contains(&value) {
         return Ok(());
     }
-    let problem = format!("{value} is not within {min} to {max}");
+    let problem = format!("{value} is not within {least} to {most}");
     Err(Error::field(field, problem))
 }
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -43,11 +43,11 @@
         let field = format!("targets[{position}].server.address");
         let listen_address = parse_address(&field, server.address())?;
         builder = bind_server(builder, listen_address, server)
-            .map_err(|error| Error::field(field, format!("{listen_address}: {error}")))?;
+            .map_err(|cause| Error::field(field, format!("{listen_address}: {cause}")))?;
     }
     let listen_address = parse_address("admin_address", &settings.admin_address)?;
     let builder = bind_admin(builder, listen_address, servers)
-        .map_err(|error| Error::field("admin_address", format!("{listen_address}: {error}")))?;
+        .map_err(|cause| Error::field("admin_address", format!("{listen_address}: {cause}")))?;
     Ok(builder.run())
 }
 
--- a/crates/standin/src/target/api.rs
+++ b/crates/standin/src/target/api.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::server::Server;
-use super::work::{self, ServeResult};
+use super::work::{self, Outcome};
 use crate::http::{self, Reply};
 
 /// Creates the service that handles the connections to a server, up to the server's limit.
@@ -80,12 +80,10 @@
         Err(error_response) => return error_response,
     };
     match work::serve_request(server, query).await {
-        ServeResult::Answer(answer) => http::json_response(StatusCode::OK, &answer),
-        ServeResult::Refusal(refusal) => {
-            http::json_response(http_status(refusal.reason()), &refusal)
-        }
-        ServeResult::Failure(text) => http::text_response(StatusCode::INTERNAL_SERVER_ERROR, text),
-        ServeResult::Malformed(text) => http::text_response(StatusCode::BAD_REQUEST, text),
+        Outcome::Answer(answer) => http::json_response(StatusCode::OK, &answer),
+        Outcome::Refusal(refusal) => http::json_response(http_status(refusal.reason()), &refusal),
+        Outcome::Failure(text) => http::text_response(StatusCode::INTERNAL_SERVER_ERROR, text),
+        Outcome::Malformed(text) => http::text_response(StatusCode::BAD_REQUEST, text),
     }
 }
 
--- a/crates/standin/src/target/check.rs
+++ b/crates/standin/src/target/check.rs
@@ -57,8 +57,8 @@
         ("queue", target.queue, MAX_QUEUE),
         ("cold_ms", target.cold_ms, MAX_COLD_MS),
     ];
-    for (name, value, max) in bounds {
-        check_range(&format!("{field}.{name}"), value, 0, max)?;
+    for (name, value, most) in bounds {
+        check_range(&format!("{field}.{name}"), value, 0, most)?;
     }
     Ok(())
 }
--- a/crates/standin/src/target/server.rs
+++ b/crates/standin/src/target/server.rs
@@ -1,4 +1,4 @@
-//! ServerState of one stand-in server.
+//! State of one stand-in server.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 use super::executions::{Executions, Filter};
 use super::service::ServiceTimes;
 
-/// Factor by which the service times of a cold server (shortly after its start) are longer.
+/// Factor by which the service times of a cold server (shortly after its start) are multiplied.
 const COLD_FACTOR: f64 = 3.0;
 
 /// One stand-in server; shared by all worker threads.
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -13,7 +13,7 @@
 use crate::answer;
 
 /// Result of a request at a stand-in server.
-pub(super) enum ServeResult {
+pub(super) enum Outcome {
     /// The request was executed.
     Answer(Answer),
     /// The request was not executed and will not be.
@@ -26,18 +26,18 @@
 
 /// Processes one request. Dropping the returned future, as happens when the client closes the
 /// connection, frees the request's slot or place in the queue.
-pub(super) async fn serve_request(server: &Arc<Server>, request: Request) -> ServeResult {
+pub(super) async fn serve_request(server: &Arc<Server>, request: Request) -> Outcome {
     if request.id.is_empty() {
-        return ServeResult::Malformed("id: is empty");
+        return Outcome::Malformed("id: is empty");
     }
     if server.state().fault.failing {
-        return ServeResult::Failure("told to fail");
+        return Outcome::Failure("told to fail");
     }
     if let Some(reason) = server.refusal_reason(&request) {
         return build_refusal(server, request, reason);
     }
     let Some(open_request) = OpenRequest::new(server, &request.id) else {
-        return ServeResult::Malformed("id: another request with it is open");
+        return Outcome::Malformed("id: another request with it is open");
     };
     match wait_for_slot(server, &request, &open_request).await {
         Ok(slot) => execute(server, request, &open_request, slot).await,
@@ -47,10 +47,10 @@
 
 /// Cancels the open request with this identifier. An identifier without an open request is ignored.
 pub(super) fn cancel(server: &Server, id: &str) {
-    if let Some(cancel_signal) = server.state().cancel_signals.get(id) {
+    if let Some(cancelled) = server.state().cancel_signals.get(id) {
         // `notify_one` stores the notification until the request waits for it, so that a
         // cancellation between queue and execution is not lost.
-        cancel_signal.notify_one();
+        cancelled.notify_one();
     }
 }
 
@@ -59,20 +59,20 @@
 struct OpenRequest<'a> {
     server: &'a Server,
     id: String,
-    cancel_signal: Arc<Notify>,
+    cancelled: Arc<Notify>,
 }
 
 impl<'a> OpenRequest<'a> {
     /// Registers a request. Returns `None` when another open request has the identifier.
     fn new(server: &'a Server, id: &str) -> Option<Self> {
-        let cancel_signal = Arc::new(Notify::new());
+        let cancelled = Arc::new(Notify::new());
         let mut state = server.state();
         if state.cancel_signals.contains_key(id) {
             return None;
         }
-        state.cancel_signals.insert(id.to_owned(), Arc::clone(&cancel_signal));
+        state.cancel_signals.insert(id.to_owned(), Arc::clone(&cancelled));
         drop(state);
-        Some(Self { server, id: id.to_owned(), cancel_signal })
+        Some(Self { server, id: id.to_owned(), cancelled })
     }
 }
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// QueuePlace of a request in the server's queue; freed when dropped.
+/// Place of a request in the server's queue; freed when dropped.
 struct QueuePlace<'a> {
     server: &'a Server,
 }
@@ -118,7 +118,7 @@
     let deadline = Duration::from_millis(request.deadline_ms.into());
     tokio::select! {
         biased;
-        () = open_request.cancel_signal.notified() => Err(Reason::Cancelled),
+        () = open_request.cancelled.notified() => Err(Reason::Cancelled),
         () = sleep(deadline) => Err(Reason::Cancelled),
         slot = server.slots.acquire() => slot.map_err(|_| Reason::TargetShed),
     }
@@ -167,7 +167,7 @@
     request: Request,
     open_request: &OpenRequest<'_>,
     slot: SemaphorePermit<'_>,
-) -> ServeResult {
+) -> Outcome {
     let (execution, time) = Execution::new(server, &request, slot);
     if let Some(down) = server.crash_duration(&request) {
         server.crash_for(down);
@@ -176,16 +176,16 @@
     }
     tokio::select! {
         biased;
-        () = open_request.cancel_signal.notified() => return ServeResult::Failure("cancelled in service"),
+        () = open_request.cancelled.notified() => return Outcome::Failure("cancelled in service"),
         () = sleep(time) => {}
     }
     execution.record_completion(time);
     drop(execution);
     if server.state().fault.silent {
-        open_request.cancel_signal.notified().await;
-        return ServeResult::Failure("cancelled without an answer");
+        open_request.cancelled.notified().await;
+        return Outcome::Failure("cancelled without an answer");
     }
-    ServeResult::Answer(build_answer(request))
+    Outcome::Answer(build_answer(request))
 }
 
 fn build_answer(request: Request) -> Answer {
@@ -204,12 +204,12 @@
     }
 }
 
-fn build_refusal(server: &Server, request: Request, reason: Reason) -> ServeResult {
+fn build_refusal(server: &Server, request: Request, reason: Reason) -> Outcome {
     let retry_after_ms = match reason {
         Reason::TargetShed => backlog_ms(server),
         _ => 0,
     };
-    ServeResult::Refusal(Refusal { id: request.id, reason: reason.into(), retry_after_ms })
+    Outcome::Refusal(Refusal { id: request.id, reason: reason.into(), retry_after_ms })
 }
 
 /// Returns the expected time to work off the queue, in milliseconds; at least 1.
--- a/crates/standin/tests/standin/client.rs
+++ b/crates/standin/tests/standin/client.rs
@@ -6,7 +6,7 @@
 use ladder_schema::publication::{Holding, Server};
 use ladder_schema::standin::{Fault, Ledger, Target, Targets};
 use ladder_schema::target::{Load, Request};
-use ladder_standin::process::Process;
+use ladder_standin::process::StandinThread;
 use ladder_standin::settings::Error;
 use ladder_standin::target;
 use serde::Serialize;
@@ -91,7 +91,7 @@
 /// limit of eight connections.
 pub(crate) struct ServerPair {
     pub(crate) settings: Targets,
-    _process: Process,
+    _process: StandinThread,
 }
 
 impl ServerPair {
@@ -104,7 +104,7 @@
                 threads: 2,
             };
             let target_settings = settings.clone();
-            let process = Process::start(move || target::start(&target_settings))?;
+            let process = StandinThread::start(move || target::start(&target_settings))?;
             Ok(Self { settings, _process: process })
         })
     }
--- a/crates/standin/tests/standin/platform.rs
+++ b/crates/standin/tests/standin/platform.rs
@@ -6,7 +6,7 @@
 use ladder_schema::publication::{Instance, Kind, Page, Record, Tombstone};
 use ladder_schema::standin::{Counts, Mode, Platform};
 use ladder_standin::platform;
-use ladder_standin::process::Process;
+use ladder_standin::process::StandinThread;
 
 use crate::client::{
     Reply, free_address, get, post, run_async, start_with_retries, try_request, wait_until,
@@ -18,7 +18,7 @@
 /// Running platform stand-in.
 struct TestPlatform {
     address: String,
-    _process: Process,
+    _process: StandinThread,
 }
 
 impl TestPlatform {
@@ -30,7 +30,7 @@
                 address: address.clone(),
                 records: vec![instance(0, "a"), instance(0, "b")],
             };
-            let process = Process::start(move || platform::start(&settings))?;
+            let process = StandinThread::start(move || platform::start(&settings))?;
             Ok(Self { address, _process: process })
         })
     }
