--- a/crates/codegen/src/lib.rs
+++ b/crates/codegen/src/lib.rs
@@ -61,7 +61,7 @@
 ///
 /// # Errors
 ///
-/// The same as those of [`generate`].
+/// Returns the same errors as [`generate`].
 pub fn write_reference(schema: &Path, out: &Path) -> Result<(), Error> {
     let files = FILES.map(|file| schema.join(file));
     let descriptors = compile(schema, &files)?;
--- a/crates/standin/src/layout.rs
+++ b/crates/standin/src/layout.rs
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     ///
-    /// The errors of [`Layout::plan`], and [`Error::Write`] when a file cannot be written.
+    /// Returns the errors of [`Layout::plan`], and [`Error::Write`] when a file cannot be written.
     pub fn write(&self, folder: &Path) -> Result<Run, Error> {
         let plan = self.plan()?;
         files::write_plan(&plan, folder)?;
--- a/crates/standin/src/layout/user.rs
+++ b/crates/standin/src/layout/user.rs
@@ -58,7 +58,7 @@
     pub unrepeatable: bool,
     /// Urgency class of the operation.
     pub urgency: Urgency,
-    /// Whether timely or complete answers are preferred.
+    /// Whether the operation prefers timely or complete answers.
     pub preference: Preference,
     /// Deadline of a request that specifies none, in milliseconds.
     pub deadline_ms: u32,
--- a/crates/standin/src/target/work.rs
+++ b/crates/standin/src/target/work.rs
@@ -146,8 +146,7 @@
         (execution, time)
     }
 
-    /// Records that the execution completed. It should have taken `planned_time`; the excess is
-    /// lateness.
+    /// Records that the execution completed. The time beyond `planned_time` counts as lateness.
     fn record_completion(&self, planned_time: Duration) {
         let lateness = self.started_at.elapsed().saturating_sub(planned_time);
         self.server.state().service_times.record_lateness(lateness);
