--- a/src/entry/door.rs
+++ b/src/entry/door.rs
@@ -95,7 +95,7 @@
         self.shared.gather.tell(Event::Call { caller, request });
         let answer = match receiver.await {
             Ok(answer) => answer,
-            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "instance terminated"),
+            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "the instance ended"),
         };
         drop(guard);
         self.shared.metrics.answered(&answer, self.shared.clock.now().since(arrived_at));
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -175,10 +175,10 @@
             shown.reason = (*reason).into();
             format!("{from} replied for {service}")
         }
-        Step::Lost { owner, portions } => format!("{portions} portions lost at {owner}"),
+        Step::Lost { owner, portions } => format!("gave up {portions} portions at {owner}"),
         Step::Refused { detail } => format!("refused: {detail}"),
         Step::Withdrawn { portions } => format!("withdrew {portions} portions"),
-        Step::Gone => "the caller disconnected".to_owned(),
+        Step::Gone => "the caller left".to_owned(),
         Step::Answered { verdict, reason, covered, missing } => {
             shown.verdict = (*verdict).into();
             shown.reason = (*reason).into();
