--- a/crates/core/examples/scale/leaf.rs
+++ b/crates/core/examples/scale/leaf.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event, Machine, Settings};
 use ladder_core::schema::publication::record::Body;
 use ladder_core::schema::{call, target, wire};
@@ -170,7 +170,7 @@
     /// Gives an event; connections open at once, calls are returned.
     fn give(&mut self, event: Event) -> Vec<(AttemptKey, target::Request)> {
         let mut sends = Vec::new();
-        let mut opened: Vec<LaneKey> = Vec::new();
+        let mut opened: Vec<ConnectionKey> = Vec::new();
         let mut next = Some(event);
         while let Some(event) = next {
             let mut out = Vec::new();
@@ -179,9 +179,9 @@
             self.core += before.elapsed();
             for action in out {
                 match action {
-                    Action::Open { lane, .. }
-                    | Action::Probe { lane, .. }
-                    | Action::Cancel { lane, .. } => opened.push(lane),
+                    Action::Open { connection, .. }
+                    | Action::Probe { connection, .. }
+                    | Action::Cancel { connection, .. } => opened.push(connection),
                     Action::Send { attempt, request, .. } => {
                         self.calls += 1;
                         sends.push((attempt, request));
--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event, Machine, Settings};
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::{target, wire};
@@ -66,7 +66,7 @@
 enum Step {
     Sweep,
     Tick,
-    Ready(LaneKey),
+    Ready(ConnectionKey),
     Reach(u64),
     Done(u64),
     Cancel(u64),
@@ -98,7 +98,7 @@
     sequence: u64,
     servers: Vec<fleet::Server>,
     places: BTreeMap<Arc<str>, usize>,
-    lanes: BTreeMap<LaneKey, usize>,
+    connections: BTreeMap<ConnectionKey, usize>,
     calls: BTreeMap<u64, Call>,
     numbers: BTreeMap<String, u64>,
     sweeps: BTreeMap<u64, Sweep>,
@@ -116,7 +116,7 @@
         sequence: 0,
         servers: (0..SERVICES * SERVERS).map(|_| fleet::Server::default()).collect(),
         places: BTreeMap::new(),
-        lanes: BTreeMap::new(),
+        connections: BTreeMap::new(),
         calls: BTreeMap::new(),
         numbers: BTreeMap::new(),
         sweeps: BTreeMap::new(),
@@ -162,7 +162,9 @@
         match step {
             Step::Sweep => self.sweep(),
             Step::Tick => self.handle(Event::Tick),
-            Step::Ready(lane) if self.lanes.contains_key(&lane) => self.handle(Event::Opened(lane)),
+            Step::Ready(connection) if self.connections.contains_key(&connection) => {
+                self.handle(Event::Opened(connection))
+            }
             Step::Ready(_) => {}
             Step::Reach(call) => self.reach(call),
             Step::Done(call) => self.done(call, Step::Answer(call)),
@@ -252,21 +254,23 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Open { lane, address, .. } => {
-                self.lanes.insert(lane, self.places[&address]);
-                self.at(CONNECT_US, Step::Ready(lane));
+            Action::Open { connection, address, .. } => {
+                self.connections.insert(connection, self.places[&address]);
+                self.at(CONNECT_US, Step::Ready(connection));
+            }
+            Action::Close(connection) => {
+                self.connections.remove(&connection);
             }
-            Action::Close(lane) => {
-                self.lanes.remove(&lane);
+            Action::Send { connection, attempt, request, .. } => {
+                self.send(connection, attempt, request)
             }
-            Action::Send { lane, attempt, request, .. } => self.send(lane, attempt, request),
-            Action::Cancel { lane, id } => {
-                self.at(2 * HOP_US, Step::Ready(lane));
+            Action::Cancel { connection, id } => {
+                self.at(2 * HOP_US, Step::Ready(connection));
                 if let Some(number) = self.numbers.get(&id).copied() {
                     self.at(HOP_US, Step::Cancel(number));
                 }
             }
-            Action::Probe { lane, .. } => self.at(2 * HOP_US, Step::Ready(lane)),
+            Action::Probe { connection, .. } => self.at(2 * HOP_US, Step::Ready(connection)),
             Action::Reply { reply, .. } => self.reply(&reply),
             Action::Log(_)
             | Action::Pending { .. }
@@ -278,11 +282,11 @@
         }
     }
 
-    fn send(&mut self, lane: LaneKey, attempt: AttemptKey, request: target::Request) {
+    fn send(&mut self, connection: ConnectionKey, attempt: AttemptKey, request: target::Request) {
         self.figures.sends += 1;
         self.sequence += 1;
         let number = self.sequence;
-        let server = self.lanes[&lane];
+        let server = self.connections[&connection];
         self.numbers.insert(request.id.clone(), number);
         let call = Call { attempt, server, request };
         self.calls.insert(number, call);
--- a/crates/core/src/leaf/attempt.rs
+++ b/crates/core/src/leaf/attempt.rs
@@ -5,7 +5,7 @@
 
 use ladder_schema::target;
 
-use super::event::LaneKey;
+use super::event::ConnectionKey;
 use super::kinds::WorkKind;
 use super::portion::{Job, PortionKey};
 use super::record;
@@ -24,7 +24,7 @@
     /// Kind of work of the call, for call time estimates.
     pub(super) kind: WorkKind,
     pub(super) server: ServerKey,
-    pub(super) lane: LaneKey,
+    pub(super) connection: ConnectionKey,
     /// Identifier of the target request.
     pub(super) id: String,
     pub(super) job: Arc<Job>,
--- a/crates/core/src/leaf/lane.rs
+++ b/crates/core/src/leaf/connection.rs
@@ -19,7 +19,7 @@
 
 /// A pooled connection to a server.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Lane {
+pub(super) struct Connection {
     pub(super) server: ServerKey,
     pub(super) state: State,
     /// Whether the server closes the connection after the current call.
--- a/crates/core/src/leaf/lanes.rs
+++ b/crates/core/src/leaf/connections.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::event::{Action, LaneKey};
-use super::lane::{Lane, State};
+use super::connection::{Connection, State};
+use super::event::{Action, ConnectionKey};
 use super::machine::{MAINTENANCE_INTERVAL, Machine};
 use super::server::ServerKey;
 use super::service::{Rank, ServiceId};
@@ -32,18 +32,18 @@
 impl Machine {
     /// Handles an established connection, or a completed cancellation or load report request on
     /// one.
-    pub(super) fn connection_opened(&mut self, key: LaneKey, out: &mut Vec<Action>) {
-        let Some(lane) = self.lanes.get_mut(key) else {
+    pub(super) fn connection_opened(&mut self, key: ConnectionKey, out: &mut Vec<Action>) {
+        let Some(connection) = self.connections.get_mut(key) else {
             return;
         };
-        let was_opening = lane.state == State::Opening;
-        if !was_opening && lane.state != State::Control {
+        let was_opening = connection.state == State::Opening;
+        if !was_opening && connection.state != State::Control {
             return;
         }
-        lane.state = State::Idle;
-        let server = lane.server;
+        connection.state = State::Idle;
+        let server = connection.server;
         if was_opening {
-            lane.since = self.now;
+            connection.since = self.now;
             self.servers[server].open_failures = 0;
             self.server_accepted_connection(server);
         }
@@ -52,17 +52,17 @@
 
     /// Handles a connection that failed or could not be opened, and schedules the next attempt with
     /// a growing delay.
-    pub(super) fn closed(&mut self, key: LaneKey, out: &mut Vec<Action>) {
-        let Some(lane) = self.lanes.get(key).copied() else {
+    pub(super) fn closed(&mut self, key: ConnectionKey, out: &mut Vec<Action>) {
+        let Some(connection) = self.connections.get(key).copied() else {
             return;
         };
-        if matches!(lane.state, State::Busy(_)) {
-            self.lanes[key].closing = true;
+        if matches!(connection.state, State::Busy(_)) {
+            self.connections[key].closing = true;
             return;
         }
-        self.remove_lane(key);
-        let server = &mut self.servers[lane.server];
-        if lane.state == State::Opening {
+        self.remove_connection(key);
+        let server = &mut self.servers[connection.server];
+        if connection.state == State::Opening {
             server.open_failures += 1;
         }
         let exponent = server.open_failures.saturating_sub(1).min(8);
@@ -91,8 +91,8 @@
 
     /// Uses a connection that has become idle, or closes it if the server has more connections than
     /// needed.
-    pub(super) fn idle(&mut self, key: LaneKey, out: &mut Vec<Action>) {
-        let server = self.lanes[key].server;
+    pub(super) fn idle(&mut self, key: ConnectionKey, out: &mut Vec<Action>) {
+        let server = self.connections[key].server;
         self.send_queued_cancels(server, out);
         self.maintain_server(server, out);
         let service = self.servers[server].service;
@@ -108,12 +108,12 @@
                 continue;
             };
             let id = call.id.clone();
-            let Some(lane) = self.idle_lane(key) else {
+            let Some(connection) = self.idle_connection(key) else {
                 return;
             };
             self.servers[key].queued_cancels.pop_front();
-            self.lanes[lane].state = State::Control;
-            out.push(Action::Cancel { lane, id });
+            self.connections[connection].state = State::Control;
+            out.push(Action::Cancel { connection, id });
         }
     }
 
@@ -127,14 +127,14 @@
 
     pub(super) fn maintain_server(&mut self, key: ServerKey, out: &mut Vec<Action>) {
         let desired = self.target_connections(key);
-        while self.servers[key].lanes.len() > desired {
-            let Some(lane) = self.closable_connection(key) else {
+        while self.servers[key].connections.len() > desired {
+            let Some(connection) = self.closable_connection(key) else {
                 break;
             };
-            self.remove_lane(lane);
-            out.push(Action::Close(lane));
+            self.remove_connection(connection);
+            out.push(Action::Close(connection));
         }
-        while self.servers[key].lanes.len() < desired && self.may_open_connection(key) {
+        while self.servers[key].connections.len() < desired && self.may_open_connection(key) {
             self.open_connection(key, out);
         }
     }
@@ -192,7 +192,7 @@
         let server = &self.servers[key];
         let queued = self.services[server.service].queue.len();
         let demand = server.in_flight as usize + queued;
-        demand.max(server.lanes.len())
+        demand.max(server.connections.len())
     }
 
     /// Whether a connection to the server may be opened now. After a failure to open one, only one
@@ -202,31 +202,34 @@
         if server.open_failures == 0 {
             return self.now >= server.reopen_at;
         }
-        let is_opening = |lane: &LaneKey| self.lanes[*lane].state == State::Opening;
-        self.now >= server.reopen_at && !server.lanes.iter().any(is_opening)
+        let is_opening =
+            |connection: &ConnectionKey| self.connections[*connection].state == State::Opening;
+        self.now >= server.reopen_at && !server.connections.iter().any(is_opening)
     }
 
     fn open_connection(&mut self, key: ServerKey, out: &mut Vec<Action>) {
-        let lane = Lane { server: key, state: State::Opening, closing: false, since: self.now };
-        let lane = self.lanes.insert(lane);
+        let connection =
+            Connection { server: key, state: State::Opening, closing: false, since: self.now };
+        let connection = self.connections.insert(connection);
         let server = &mut self.servers[key];
-        server.lanes.push(lane);
+        server.connections.push(connection);
         let name = Arc::clone(&server.name);
-        out.push(Action::Open { lane, address: Arc::clone(&server.address), server: name });
+        out.push(Action::Open { connection, address: Arc::clone(&server.address), server: name });
     }
 
     /// An idle or opening connection to the server: closing it interrupts no call.
-    fn closable_connection(&self, key: ServerKey) -> Option<LaneKey> {
-        let is_closable =
-            |lane: &LaneKey| matches!(self.lanes[*lane].state, State::Idle | State::Opening);
-        self.servers[key].lanes.iter().copied().rev().find(is_closable)
+    fn closable_connection(&self, key: ServerKey) -> Option<ConnectionKey> {
+        let is_closable = |connection: &ConnectionKey| {
+            matches!(self.connections[*connection].state, State::Idle | State::Opening)
+        };
+        self.servers[key].connections.iter().copied().rev().find(is_closable)
     }
 
-    pub(super) fn remove_lane(&mut self, key: LaneKey) {
-        let Some(lane) = self.lanes.remove(key) else {
+    pub(super) fn remove_connection(&mut self, key: ConnectionKey) {
+        let Some(connection) = self.connections.remove(key) else {
             return;
         };
-        self.servers[lane.server].lanes.retain(|other| *other != key);
+        self.servers[connection.server].connections.retain(|other| *other != key);
     }
 
     /// Periodic maintenance of a service: expiry of old records, connections, load report requests.
@@ -254,19 +257,21 @@
         for index in 0..self.services[id].servers.len() {
             let key = self.services[id].servers[index];
             let server = &self.servers[key];
-            let lane = server.probe_lane.and_then(|lane| self.lanes.get(lane));
-            let probe_is_open = lane.is_some_and(|lane| lane.state == State::Control);
+            let connection =
+                server.probe_connection.and_then(|connection| self.connections.get(connection));
+            let probe_is_open =
+                connection.is_some_and(|connection| connection.state == State::Control);
             if probe_is_open || !server.accepts_work() || self.now < server.probe_at {
                 continue;
             }
             let name = Arc::clone(&server.name);
-            let Some(lane) = self.idle_lane(key) else {
+            let Some(connection) = self.idle_connection(key) else {
                 continue;
             };
             self.servers[key].probe_at = self.now + MAINTENANCE_INTERVAL;
-            self.servers[key].probe_lane = Some(lane);
-            self.lanes[lane].state = State::Control;
-            out.push(Action::Probe { lane, server: name });
+            self.servers[key].probe_connection = Some(connection);
+            self.connections[connection].state = State::Control;
+            out.push(Action::Probe { connection, server: name });
         }
     }
 }
--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -13,7 +13,7 @@
 use ladder_schema::outcome::Reason;
 
 use super::attempt::Attempt;
-use super::event::{Action, AttemptKey, LaneKey, Outcome};
+use super::event::{Action, AttemptKey, ConnectionKey, Outcome};
 use super::machine::Machine;
 use super::portion::{Job, Portion, PortionKey};
 use super::reply::Refused;
@@ -115,7 +115,10 @@
             return;
         };
         let is_older = |since: Instant| since + MAX_TIME_ERROR < termination.terminated_at;
-        let older = self.lanes.get(attempt.lane).is_some_and(|lane| is_older(lane.since));
+        let older = self
+            .connections
+            .get(attempt.connection)
+            .is_some_and(|connection| is_older(connection.since));
         if older && attempt.sent >= termination.received_at {
             server.reported_termination = None;
             let (server, incarnation) = (Arc::clone(&server.name), server.incarnation);
@@ -257,9 +260,9 @@
 
     /// Handles a refused connection: no process listens at the address of the server, so its
     /// process has terminated.
-    pub(super) fn lane_refused(&mut self, key: LaneKey, out: &mut Vec<Action>) {
-        if let Some(lane) = self.lanes.get(key) {
-            let server = lane.server;
+    pub(super) fn connection_refused(&mut self, key: ConnectionKey, out: &mut Vec<Action>) {
+        if let Some(connection) = self.connections.get(key) {
+            let server = connection.server;
             self.server_terminated(server, self.servers[server].incarnation, out);
         }
         self.closed(key, out);
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -9,10 +9,10 @@
 use ladder_schema::{target, wire};
 
 use super::attempt::Attempt;
-use super::event::{Action, LaneKey};
+use super::connection;
+use super::event::{Action, ConnectionKey};
 use super::intake::DEFAULT_CALL_TIME;
 use super::kinds::WorkKind;
-use super::lane;
 use super::machine::Machine;
 use super::portion::PortionKey;
 use super::queue::Class;
@@ -105,7 +105,7 @@
         let server = &self.servers[key];
         let free = !self.settings.queueing || server.in_flight < self.max_calls(server);
         let warmup_limited = self.next_warmup_request_at(key) > self.now;
-        free && server.exclusion(warmup_limited).is_none() && self.idle_lane(key).is_some()
+        free && server.exclusion(warmup_limited).is_none() && self.idle_connection(key).is_some()
     }
 
     /// Maximum number of calls in flight at a server.
@@ -126,9 +126,10 @@
     }
 
     /// Returns an idle pooled connection to a server.
-    pub(super) fn idle_lane(&self, key: ServerKey) -> Option<LaneKey> {
-        let mut lanes = self.servers[key].lanes.iter().copied();
-        lanes.find(|lane| self.lanes[*lane].state == lane::State::Idle)
+    pub(super) fn idle_connection(&self, key: ServerKey) -> Option<ConnectionKey> {
+        let mut connections = self.servers[key].connections.iter().copied();
+        connections
+            .find(|connection| self.connections[*connection].state == connection::State::Idle)
     }
 
     /// Whether a portion could not be answered by its deadline even if it were sent now.
@@ -309,9 +310,11 @@
     /// A server that stalls for a moment gives no other sign of it, and all calls sent to it
     /// meanwhile wait until it continues.
     fn oldest_call_age(&self, server: &Server) -> Duration {
-        let busy = server.lanes.iter().filter_map(|lane| match self.lanes[*lane].state {
-            lane::State::Busy(attempt) => self.attempts.get(attempt),
-            _ => None,
+        let busy = server.connections.iter().filter_map(|connection| {
+            match self.connections[*connection].state {
+                connection::State::Busy(attempt) => self.attempts.get(attempt),
+                _ => None,
+            }
         });
         let oldest = busy.map(|attempt| attempt.sent).min();
         oldest.map_or(Duration::ZERO, |sent| self.now.since(sent))
@@ -360,7 +363,7 @@
 
     /// Sends one call of a portion on an idle pooled connection to the server.
     pub(super) fn send_call(&mut self, key: PortionKey, to: ServerKey, out: &mut Vec<Action>) {
-        let Some(lane) = self.idle_lane(to) else {
+        let Some(connection) = self.idle_connection(to) else {
             return;
         };
         self.sequence += 1;
@@ -372,7 +375,7 @@
             service: portion.service,
             kind: portion.kind,
             server: to,
-            lane,
+            connection,
             id: id.clone(),
             job: Arc::clone(&portion.job),
             shards: Arc::clone(&portion.shards),
@@ -392,9 +395,9 @@
         portion.calls += 1;
         self.services[portion.service].in_flight += 1;
         self.servers[to].in_flight += 1;
-        self.lanes[lane].state = lane::State::Busy(attempt);
+        self.connections[connection].state = connection::State::Busy(attempt);
         out.push(Action::Send {
-            lane,
+            connection,
             attempt,
             request: target_request(&portion.job.work, &portion.shards, id, timeout),
             timeout,
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -7,8 +7,8 @@
 use ladder_schema::outcome::{Reason, Verdict};
 
 use super::attempt::{Attempt, Mismatch};
+use super::connection;
 use super::event::{Action, AttemptKey, Outcome};
-use super::lane;
 use super::machine::Machine;
 use super::portion::PortionKey;
 use super::record;
@@ -135,14 +135,14 @@
         self.services[attempt.service].in_flight -= 1;
         let server = &mut self.servers[attempt.server];
         server.in_flight -= 1;
-        if reusable && !self.lanes[attempt.lane].closing {
-            self.lanes[attempt.lane].state = lane::State::Idle;
-            self.idle(attempt.lane, out);
+        if reusable && !self.connections[attempt.connection].closing {
+            self.connections[attempt.connection].state = connection::State::Idle;
+            self.idle(attempt.connection, out);
             return;
         }
-        self.remove_lane(attempt.lane);
+        self.remove_connection(attempt.connection);
         if mismatched {
-            out.push(Action::Close(attempt.lane));
+            out.push(Action::Close(attempt.connection));
         }
         self.maintain_server(attempt.server, out);
     }
--- a/crates/core/src/leaf/event.rs
+++ b/crates/core/src/leaf/event.rs
@@ -14,7 +14,7 @@
 
 new_key_type! {
     /// Key of a pooled connection to a server. The connection carries one request at a time.
-    pub struct LaneKey;
+    pub struct ConnectionKey;
 
     /// Key of a call: one request that carries one portion to one server.
     pub struct AttemptKey;
@@ -57,13 +57,13 @@
     },
     /// A pooled connection requested by [`Action::Open`] is established and idle, or the
     /// cancellation or load report request on it is done.
-    Opened(LaneKey),
+    Opened(ConnectionKey),
     /// A pooled connection failed or the target closed it while idle, or the connection could not
     /// be opened. For a connection that carries a call: the target will close the connection after
     /// the call's end.
-    Closed(LaneKey),
+    Closed(ConnectionKey),
     /// A pooled connection could not be opened because no process listens at the server's address.
-    Refused(LaneKey),
+    Refused(ConnectionKey),
     /// A call ended. After any outcome but an answer or a refusal the shell has closed the pooled
     /// connection, and no further event names that connection.
     Ended {
@@ -95,7 +95,7 @@
     /// Open a pooled connection to a server.
     Open {
         /// Key that later events name the connection by.
-        lane: LaneKey,
+        connection: ConnectionKey,
         /// IP address and port of the server.
         address: Arc<str>,
         /// Name of the server.
@@ -103,12 +103,12 @@
     },
     /// Close a pooled connection, also one that carries an abandoned call. No further event names
     /// the connection or the call.
-    Close(LaneKey),
+    Close(ConnectionKey),
     /// Send a request on an idle pooled connection. The call must end with [`Event::Ended`] in
     /// every case.
     Send {
         /// The pooled connection, busy until the call ends.
-        lane: LaneKey,
+        connection: ConnectionKey,
         /// Key of the call.
         attempt: AttemptKey,
         /// The request to send.
@@ -120,7 +120,7 @@
     /// [`Event::Opened`] (done) or [`Event::Closed`] names it.
     Cancel {
         /// An idle pooled connection to the server.
-        lane: LaneKey,
+        connection: ConnectionKey,
         /// The target request's identifier.
         id: String,
     },
@@ -128,7 +128,7 @@
     /// result; the connection stays busy until [`Event::Opened`] or [`Event::Closed`] names it.
     Probe {
         /// An idle pooled connection to the server.
-        lane: LaneKey,
+        connection: ConnectionKey,
         /// Name of the server.
         server: Arc<str>,
     },
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -7,10 +7,10 @@
 
 use super::aggregate::{Aggregation, AggregationKey};
 use super::attempt::Attempt;
+use super::connection::Connection;
 use super::crash::Crashes;
-use super::event::{Action, AttemptKey, Event, LaneKey};
+use super::event::{Action, AttemptKey, ConnectionKey, Event};
 use super::kinds::CallTimesByKind;
-use super::lane::Lane;
 use super::portion::{Portion, PortionKey};
 use super::random::Random;
 use super::recent::Recent;
@@ -76,7 +76,7 @@
     pub(super) servers: SlotMap<ServerKey, Server>,
     /// Keys of the servers in the current view, by server name.
     pub(super) server_keys: Map<Arc<str>, ServerKey>,
-    pub(super) lanes: SlotMap<LaneKey, Lane>,
+    pub(super) connections: SlotMap<ConnectionKey, Connection>,
     pub(super) portions: SlotMap<PortionKey, Portion>,
     pub(super) attempts: SlotMap<AttemptKey, Attempt>,
     /// Portions without a reply yet, by query.
@@ -120,7 +120,7 @@
             service_ids: Map::default(),
             servers: SlotMap::with_key(),
             server_keys: Map::default(),
-            lanes: SlotMap::with_key(),
+            connections: SlotMap::with_key(),
             portions: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
             queries: Map::default(),
@@ -167,11 +167,13 @@
 
     fn dispatch_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Work { from, incarnation, work } => self.recv_work(from, incarnation, work, out),
+            Event::Work { from, incarnation, work } => {
+                self.handle_work(from, incarnation, work, out)
+            }
             Event::Cancel { from, cancel } => self.handle_cancel(from, &cancel, out),
-            Event::Opened(lane) => self.connection_opened(lane, out),
-            Event::Closed(lane) => self.closed(lane, out),
-            Event::Refused(lane) => self.lane_refused(lane, out),
+            Event::Opened(connection) => self.connection_opened(connection, out),
+            Event::Closed(connection) => self.closed(connection, out),
+            Event::Refused(connection) => self.connection_refused(connection, out),
             Event::Ended { attempt, outcome } => self.handle_call_end(attempt, outcome, out),
             Event::Load { server, load } => self.handle_load_report(&server, load, out),
             Event::View(view) => self.handle_view(&view, out),
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -6,8 +6,8 @@
 use ladder_schema::outcome::Reason;
 use ladder_schema::target;
 
+use super::connection;
 use super::event::Action;
-use super::lane;
 use super::machine::{MAINTENANCE_INTERVAL, Machine, Pause};
 use super::portion::PortionKey;
 use super::reply::Refused;
@@ -116,12 +116,12 @@
     /// their deadline and occupy the slots of the new process. Calls on these connections may have
     /// run.
     fn close_stale_connections(&mut self, key: ServerKey, out: &mut Vec<Action>) {
-        for lane in std::mem::take(&mut self.servers[key].lanes) {
-            let Some(old) = self.lanes.remove(lane) else {
+        for connection in std::mem::take(&mut self.servers[key].connections) {
+            let Some(old) = self.connections.remove(connection) else {
                 continue;
             };
-            out.push(Action::Close(lane));
-            if let lane::State::Busy(attempt) = old.state {
+            out.push(Action::Close(connection));
+            if let connection::State::Busy(attempt) = old.state {
                 self.end_as_lost(attempt, out);
             }
         }
@@ -153,7 +153,7 @@
     pub(super) fn remove_unused(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
-            !server.listed && server.in_flight == 0 && server.lanes.is_empty()
+            !server.listed && server.in_flight == 0 && server.connections.is_empty()
         };
         let keys = self.services[id].servers.iter().copied();
         let unused_servers: Vec<ServerKey> = keys.filter(unused).collect();
--- a/crates/core/src/leaf/reply.rs
+++ b/crates/core/src/leaf/reply.rs
@@ -176,8 +176,8 @@
         self.services[attempt.service].in_flight -= 1;
         self.servers[attempt.server].in_flight -= 1;
         self.call_abandoned(&attempt, out);
-        self.remove_lane(attempt.lane);
-        out.push(Action::Close(attempt.lane));
+        self.remove_connection(attempt.connection);
+        out.push(Action::Close(attempt.connection));
         self.maintain_server(attempt.server, out);
         self.mark_changed(attempt.service);
     }
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -9,7 +9,7 @@
 use slotmap::new_key_type;
 
 use super::crash::{LostCall, ReportedTermination};
-use super::event::{AttemptKey, LaneKey};
+use super::event::{AttemptKey, ConnectionKey};
 use super::exclusion::{Exclusion, Facts};
 use super::health::Health;
 use super::service::ServiceId;
@@ -54,14 +54,14 @@
     leaving: Option<u64>,
     pub(super) slots: u32,
     /// Connection share: number of connections that this instance may have to the server.
-    /// Invariant: no connection is opened while `lanes` contains this many.
+    /// Invariant: no connection is opened while `connections` contains this many.
     pub(super) share: u32,
     holdings: Vec<Holding>,
     /// Index versions that the server refused as retired, with the time of the refusal.
     retired: Vec<(Holding, Instant)>,
     report: Option<(Instant, target::Load)>,
     pub(super) health: Health,
-    pub(super) lanes: Vec<LaneKey>,
+    pub(super) connections: Vec<ConnectionKey>,
     /// Number of open calls at the server, including calls whose portion already has a reply.
     pub(super) in_flight: u32,
     /// Number of consecutive failures to open a connection.
@@ -71,7 +71,7 @@
     /// Earliest time of the next load report request.
     pub(super) probe_at: Instant,
     /// Connection of the most recent load report request.
-    pub(super) probe_lane: Option<LaneKey>,
+    pub(super) probe_connection: Option<ConnectionKey>,
     /// Calls to cancel as soon as a connection is idle.
     pub(super) queued_cancels: VecDeque<AttemptKey>,
     /// Requests whose calls broke off recently, each request once, oldest first.
@@ -104,12 +104,12 @@
             retired: Vec::new(),
             report: None,
             health: Health::default(),
-            lanes: Vec::new(),
+            connections: Vec::new(),
             in_flight: 0,
             open_failures: 0,
             reopen_at: Instant::default(),
             probe_at: Instant::default(),
-            probe_lane: None,
+            probe_connection: None,
             queued_cancels: VecDeque::new(),
             lost_calls: Vec::new(),
             reported_termination: None,
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -121,7 +121,7 @@
         state: state(server, is_held_back, now),
         in_flight: server.in_flight,
         slots: server.slots,
-        connections: server.lanes.len(),
+        connections: server.connections.len(),
         share: server.share,
         failure_rate: server.health.failure_rate(now),
         mean: server
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -7,7 +7,7 @@
 
 use bolero::{BorrowedInput, ByteSliceGenerator, TestTarget, TypeGenerator};
 use ladder_core::gather::event::Caller;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::route::Table;
 use ladder_core::schema::call::{Message, Request};
 use ladder_core::schema::catalogue::Limits;
@@ -86,7 +86,7 @@
 
 struct Call {
     attempt: AttemptKey,
-    lane: LaneKey,
+    connection: ConnectionKey,
     instance: usize,
     request: target::Request,
     execution: Execution,
@@ -97,8 +97,8 @@
     states: [ServerState; ZONES.len()],
     /// Whether connections to each server can be opened.
     reachable: [bool; ZONES.len()],
-    opening: Vec<LaneKey>,
-    addresses: BTreeMap<LaneKey, Arc<str>>,
+    opening: Vec<ConnectionKey>,
+    addresses: BTreeMap<ConnectionKey, Arc<str>>,
 }
 
 struct Simulation {
@@ -178,20 +178,20 @@
     fn act(&mut self, instance: usize, action: leaf::Action) {
         let sender = &mut self.senders[instance];
         match action {
-            leaf::Action::Open { lane, address, .. } => {
-                sender.opening.push(lane);
-                sender.addresses.insert(lane, address);
+            leaf::Action::Open { connection, address, .. } => {
+                sender.opening.push(connection);
+                sender.addresses.insert(connection, address);
             }
-            leaf::Action::Close(lane) => {
-                sender.opening.retain(|other| *other != lane);
-                self.close_connection(instance, lane);
+            leaf::Action::Close(connection) => {
+                sender.opening.retain(|other| *other != connection);
+                self.close_connection(instance, connection);
             }
-            leaf::Action::Send { lane, attempt, request, .. } => {
-                let address = Arc::clone(&sender.addresses[&lane]);
+            leaf::Action::Send { connection, attempt, request, .. } => {
+                let address = Arc::clone(&sender.addresses[&connection]);
                 let (key, service) = request.payload.split_once(' ').expect("key and service");
                 let execution = (key.to_owned(), service_name(&address).to_owned(), address);
                 assert_eq!(service, "sweep");
-                self.calls.push(Call { attempt, lane, instance, request, execution });
+                self.calls.push(Call { attempt, connection, instance, request, execution });
             }
             leaf::Action::Reply { reply, .. } => self.replies.push((instance, reply)),
             _ => {}
@@ -199,9 +199,10 @@
     }
 
     /// Ends the call on a closed connection; the call may have run.
-    fn close_connection(&mut self, instance: usize, lane: LaneKey) {
-        let on_lane = |call: &mut Call| call.instance == instance && call.lane == lane;
-        for call in self.calls.extract_if(.., on_lane).collect::<Vec<_>>() {
+    fn close_connection(&mut self, instance: usize, connection: ConnectionKey) {
+        let on_connection =
+            |call: &mut Call| call.instance == instance && call.connection == connection;
+        for call in self.calls.extract_if(.., on_connection).collect::<Vec<_>>() {
             self.record_execution(call.execution);
         }
     }
@@ -270,10 +271,14 @@
     }
 
     fn connect(&mut self, instance: usize) {
-        while let Some(lane) = self.senders[instance].opening.pop() {
+        while let Some(connection) = self.senders[instance].opening.pop() {
             let sender = &self.senders[instance];
-            let opens = sender.reachable[server_number(&sender.addresses[&lane])];
-            let event = if opens { leaf::Event::Opened(lane) } else { leaf::Event::Closed(lane) };
+            let opens = sender.reachable[server_number(&sender.addresses[&connection])];
+            let event = if opens {
+                leaf::Event::Opened(connection)
+            } else {
+                leaf::Event::Closed(connection)
+            };
             self.leaf(instance, event);
         }
     }
--- a/crates/core/tests/leaf/lanes.rs
+++ b/crates/core/tests/leaf/connections.rs
@@ -63,8 +63,8 @@
     assert_eq!(harness.machine.open(), 0);
     for _ in 0..100 {
         harness.advance(100);
-        for lane in harness.probed_connections() {
-            harness.handle(Event::Opened(lane));
+        for connection in harness.probed_connections() {
+            harness.handle(Event::Opened(connection));
         }
     }
     assert_eq!(harness.opened.len(), 1);
@@ -101,7 +101,7 @@
         harness.connect();
         harness.deliver_work(work(2, "sweep"));
         let next = harness.sent().pop().expect("a call");
-        assert_ne!(next.lane, sent[0].lane);
+        assert_ne!(next.connection, sent[0].connection);
     }
 }
 
--- a/crates/core/tests/leaf/crash.rs
+++ b/crates/core/tests/leaf/crash.rs
@@ -93,12 +93,12 @@
 /// Refuses all connections that are being opened to a server.
 fn refuse_connections(harness: &mut Harness, address: &str) {
     let opening = |action: &Action| match action {
-        Action::Open { lane, address: to, .. } if **to == *address => Some(*lane),
+        Action::Open { connection, address: to, .. } if **to == *address => Some(*connection),
         _ => None,
     };
-    let lanes: Vec<_> = harness.log.iter().filter_map(opening).collect();
-    for lane in lanes {
-        harness.handle(Event::Refused(lane));
+    let connections: Vec<_> = harness.log.iter().filter_map(opening).collect();
+    for connection in connections {
+        harness.handle(Event::Refused(connection));
     }
 }
 
--- a/crates/core/tests/leaf/exclusion.rs
+++ b/crates/core/tests/leaf/exclusion.rs
@@ -119,17 +119,20 @@
         harness.connect();
         before(&mut harness);
         harness.handle(servers(true));
-        let lanes: Set<_> =
+        let connections: Set<_> =
             harness.opened.iter().filter(|(_, to)| &**to == "10.0.0.1:80").collect();
-        let lanes: Set<_> = lanes.into_iter().map(|(lane, _)| *lane).collect();
+        let connections: Set<_> =
+            connections.into_iter().map(|(connection, _)| *connection).collect();
         let calls = harness.sent();
         harness.log.clear();
-        for sent in calls.iter().filter(|sent| lanes.contains(&sent.lane)) {
+        for sent in calls.iter().filter(|sent| connections.contains(&sent.connection)) {
             harness.answer(sent);
         }
         after(&mut harness);
         let reaches = |action: &&Action| match action {
-            Action::Send { lane, .. } | Action::Probe { lane, .. } => lanes.contains(lane),
+            Action::Send { connection, .. } | Action::Probe { connection, .. } => {
+                connections.contains(connection)
+            }
             Action::Open { address, .. } => &**address == "10.0.0.1:80",
             _ => false,
         };
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -251,9 +251,9 @@
     let sent = first_call(&mut harness, 1, "check");
     harness.handle(cancel(1));
     harness.advance(199);
-    assert!(!harness.log.contains(&Action::Close(sent.lane)));
+    assert!(!harness.log.contains(&Action::Close(sent.connection)));
     harness.advance(2);
-    assert!(harness.log.contains(&Action::Close(sent.lane)));
+    assert!(harness.log.contains(&Action::Close(sent.connection)));
     let cancels = harness.log.iter().filter(|action| matches!(action, Action::Cancel { .. }));
     assert_eq!(cancels.count(), 0);
 }
@@ -267,7 +267,7 @@
     harness.advance(50);
     harness.end_call(sent.attempt, response(&sent, 200));
     harness.advance(300);
-    assert!(!harness.log.contains(&Action::Close(sent.lane)));
+    assert!(!harness.log.contains(&Action::Close(sent.connection)));
 }
 
 /// A server announces in its response that it will close the connection. A message sent on this
@@ -276,12 +276,12 @@
 fn closing_connection_carries_no_other_call() {
     let mut harness = harness(settings(), limits(100, true));
     let sent = first_call(&mut harness, 1, "check");
-    harness.handle(Event::Closed(sent.lane));
+    harness.handle(Event::Closed(sent.connection));
     harness.end_call(sent.attempt, response(&sent, 200));
     assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)]);
     for query in 2..30 {
         let next = first_call(&mut harness, query, "check");
-        assert_ne!(next.lane, sent.lane);
+        assert_ne!(next.connection, sent.connection);
         harness.end_call(next.attempt, response(&next, 200));
     }
 }
--- a/crates/core/tests/leaf/harness.rs
+++ b/crates/core/tests/leaf/harness.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ladder_core::count::{self, Count};
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event, Machine, Settings};
 use ladder_core::schema::catalogue::{Entry, Limits, Operation, Urgency};
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -19,7 +19,7 @@
 /// A call that the machine sent.
 #[derive(Clone, Debug)]
 pub(crate) struct SentCall {
-    pub(crate) lane: LaneKey,
+    pub(crate) connection: ConnectionKey,
     pub(crate) attempt: AttemptKey,
     pub(crate) request: target::Request,
     pub(crate) address: Arc<str>,
@@ -61,7 +61,7 @@
     pub(crate) machine: Machine,
     pub(crate) now: Instant,
     pub(crate) log: Vec<Action>,
-    pub(crate) opened: Vec<(LaneKey, Arc<str>)>,
+    pub(crate) opened: Vec<(ConnectionKey, Arc<str>)>,
     query: u64,
 }
 
@@ -198,10 +198,10 @@
         self.machine.handle(self.now, event, &mut out);
         for action in &out {
             match action {
-                Action::Open { lane, address, .. } => {
-                    self.opened.push((*lane, Arc::clone(address)));
+                Action::Open { connection, address, .. } => {
+                    self.opened.push((*connection, Arc::clone(address)));
                 }
-                Action::Close(lane) => self.opened.retain(|(open, _)| open != lane),
+                Action::Close(connection) => self.opened.retain(|(open, _)| open != connection),
                 _ => {}
             }
         }
@@ -213,7 +213,7 @@
         let log = std::mem::take(&mut self.log);
         for action in log {
             match action {
-                Action::Open { lane, .. } => self.handle(Event::Opened(lane)),
+                Action::Open { connection, .. } => self.handle(Event::Opened(connection)),
                 other => self.log.push(other),
             }
         }
@@ -221,11 +221,11 @@
 
     /// Closes every established or requested connection; returns the number of closed connections.
     pub(crate) fn close_all_connections(&mut self) -> usize {
-        let lanes = std::mem::take(&mut self.opened);
-        for (lane, _) in &lanes {
-            self.handle(Event::Closed(*lane));
+        let connections = std::mem::take(&mut self.opened);
+        for (connection, _) in &connections {
+            self.handle(Event::Closed(*connection));
         }
-        lanes.len()
+        connections.len()
     }
 
     /// Advances the clock and sends ticks at the times that the machine requested.
@@ -244,8 +244,8 @@
 
     pub(crate) fn end_call(&mut self, attempt: AttemptKey, outcome: Outcome) {
         if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
-            let lane = self.connection_of(attempt);
-            self.opened.retain(|(open, _)| Some(*open) != lane);
+            let connection = self.connection_of(attempt);
+            self.opened.retain(|(open, _)| Some(*open) != connection);
         }
         self.handle(Event::Ended { attempt, outcome });
     }
@@ -290,9 +290,9 @@
         }
     }
 
-    fn connection_of(&self, wanted: AttemptKey) -> Option<LaneKey> {
+    fn connection_of(&self, wanted: AttemptKey) -> Option<ConnectionKey> {
         self.log.iter().find_map(|action| match action {
-            Action::Send { lane, attempt, .. } if *attempt == wanted => Some(*lane),
+            Action::Send { connection, attempt, .. } if *attempt == wanted => Some(*connection),
             _ => None,
         })
     }
@@ -303,14 +303,14 @@
 
     /// Calls sent since the log was last cleared.
     pub(crate) fn sent(&self) -> Vec<SentCall> {
-        let address_of = |wanted: &LaneKey| {
-            let found = self.opened.iter().find(|(lane, _)| lane == wanted);
+        let address_of = |wanted: &ConnectionKey| {
+            let found = self.opened.iter().find(|(connection, _)| connection == wanted);
             found.map_or_else(|| "closed".into(), |(_, address)| Arc::clone(address))
         };
         self.filter_log(|action| match action {
-            Action::Send { lane, attempt, request, .. } => {
-                let (request, address) = (request.clone(), address_of(lane));
-                Some(SentCall { lane: *lane, attempt: *attempt, request, address })
+            Action::Send { connection, attempt, request, .. } => {
+                let (request, address) = (request.clone(), address_of(connection));
+                Some(SentCall { connection: *connection, attempt: *attempt, request, address })
             }
             _ => None,
         })
@@ -342,9 +342,9 @@
     }
 
     /// Connections of the load report requests since the log was last cleared.
-    pub(crate) fn probed_connections(&self) -> Vec<LaneKey> {
+    pub(crate) fn probed_connections(&self) -> Vec<ConnectionKey> {
         self.filter_log(|action| match action {
-            Action::Probe { lane, .. } => Some(*lane),
+            Action::Probe { connection, .. } => Some(*connection),
             _ => None,
         })
     }
--- a/crates/core/tests/leaf/hedge.rs
+++ b/crates/core/tests/leaf/hedge.rs
@@ -37,12 +37,12 @@
     harness.answer(&sent[1]);
     assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)]);
     let cancelled = harness.log.iter().find_map(|action| match action {
-        Action::Cancel { lane, id } => Some((*lane, id.clone())),
+        Action::Cancel { connection, id } => Some((*connection, id.clone())),
         _ => None,
     });
-    let (lane, id) = cancelled.expect("the first call is cancelled");
+    let (connection, id) = cancelled.expect("the first call is cancelled");
     assert_eq!(id, sent[0].request.id);
-    assert_ne!(lane, sent[0].lane);
+    assert_ne!(connection, sent[0].connection);
 
     harness.answer(&sent[0]);
     assert_eq!(harness.replies().len(), 1);
--- a/crates/core/tests/leaf/main.rs
+++ b/crates/core/tests/leaf/main.rs
@@ -2,6 +2,7 @@
 
 mod aggregate;
 mod attempts;
+mod connections;
 mod crash;
 mod dispatch;
 mod exclusion;
@@ -9,7 +10,6 @@
 mod harness;
 mod hedge;
 mod idempotency;
-mod lanes;
 mod open_calls;
 mod overload;
 mod property;
--- a/crates/core/tests/leaf/open_calls.rs
+++ b/crates/core/tests/leaf/open_calls.rs
@@ -4,7 +4,7 @@
 
 use bolero::TypeGenerator;
 use ladder_core::collections::Map;
-use ladder_core::leaf::event::{LaneKey, Outcome};
+use ladder_core::leaf::event::{ConnectionKey, Outcome};
 use ladder_core::schema::outcome::Reason;
 
 use crate::harness::{Harness, SentCall};
@@ -21,7 +21,7 @@
 /// Open calls of a harness, and the server address of every connection opened so far.
 #[derive(Default)]
 pub(crate) struct OpenCalls {
-    server_by_connection: Map<LaneKey, Arc<str>>,
+    server_by_connection: Map<ConnectionKey, Arc<str>>,
     open_calls: Vec<SentCall>,
 }
 
@@ -51,10 +51,14 @@
     pub(crate) fn add_sent_calls(&mut self, harness: &Harness) -> Vec<Arc<str>> {
         self.record_connections(harness);
         let sent = harness.sent();
-        let addresses =
-            sent.iter().map(|sent| Arc::clone(&self.server_by_connection[&sent.lane])).collect();
+        let addresses = sent
+            .iter()
+            .map(|sent| Arc::clone(&self.server_by_connection[&sent.connection]))
+            .collect();
         self.open_calls.extend(sent);
-        self.open_calls.retain(|sent| harness.opened.iter().any(|(lane, _)| *lane == sent.lane));
+        self.open_calls.retain(|sent| {
+            harness.opened.iter().any(|(connection, _)| *connection == sent.connection)
+        });
         addresses
     }
 }
--- a/crates/core/tests/leaf/overload.rs
+++ b/crates/core/tests/leaf/overload.rs
@@ -278,7 +278,7 @@
     harness.connect();
     let again = harness.sent();
     assert_eq!(again.len(), 1, "the sweep is retried: {again:?}");
-    assert_ne!(again[0].lane, sweep.lane);
+    assert_ne!(again[0].connection, sweep.connection);
     harness.log.clear();
     harness.handle(view(service(vec![Server { leaving: true, ..with_incarnation(5) }])));
     harness.end_call(again[0].attempt, again[0].answer());
--- a/crates/core/tests/leaf/property.rs
+++ b/crates/core/tests/leaf/property.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bolero::TypeGenerator;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Event, Machine, Settings};
 use ladder_core::schema::outcome::Reason;
 use ladder_core::schema::{target, wire};
@@ -12,7 +12,7 @@
 use ladder_core::view::Server;
 
 use crate::harness;
-use crate::simulation::{Call, Lane, Simulation, payload};
+use crate::simulation::{Call, ConnectionState, Simulation, payload};
 
 /// Outcome of a call.
 #[derive(Clone, Copy, Debug)]
@@ -124,24 +124,34 @@
     }
 
     fn complete_connection(&mut self, which: u8) {
-        let is_pending = |state: &Lane| matches!(state, Lane::Opening | Lane::Control);
+        let is_pending = |state: &ConnectionState| {
+            matches!(state, ConnectionState::Opening | ConnectionState::Control)
+        };
         if let Some(connection) = self.pick_connection(which, is_pending) {
-            self.simulation.set_state(connection, Lane::Idle);
+            self.simulation.set_state(connection, ConnectionState::Idle);
             self.handle(Event::Opened(connection));
         }
     }
 
     fn close_connection(&mut self, which: u8) {
-        if let Some(connection) = self.pick_connection(which, |state| *state != Lane::Busy) {
-            self.simulation.lanes.remove(&connection);
+        if let Some(connection) =
+            self.pick_connection(which, |state| *state != ConnectionState::Busy)
+        {
+            self.simulation.connections.remove(&connection);
             self.handle(Event::Closed(connection));
         }
     }
 
-    fn pick_connection(&self, which: u8, predicate: impl Fn(&Lane) -> bool) -> Option<LaneKey> {
-        let lanes = self.simulation.lanes.iter().filter(|(_, (_, state))| predicate(state));
-        let lanes: Vec<LaneKey> = lanes.map(|(connection, _)| *connection).collect();
-        lanes.get(usize::from(which) % lanes.len().max(1)).copied()
+    fn pick_connection(
+        &self,
+        which: u8,
+        predicate: impl Fn(&ConnectionState) -> bool,
+    ) -> Option<ConnectionKey> {
+        let connections =
+            self.simulation.connections.iter().filter(|(_, (_, state))| predicate(state));
+        let connections: Vec<ConnectionKey> =
+            connections.map(|(connection, _)| *connection).collect();
+        connections.get(usize::from(which) % connections.len().max(1)).copied()
     }
 
     fn end_call(&mut self, which: u8, end: End) {
--- a/crates/core/tests/leaf/servers.rs
+++ b/crates/core/tests/leaf/servers.rs
@@ -296,8 +296,8 @@
             harness.advance(100);
             let probed = harness.probed_connections();
             probes += probed.len();
-            for lane in probed.into_iter().filter(|_| answers) {
-                harness.handle(Event::Opened(lane));
+            for connection in probed.into_iter().filter(|_| answers) {
+                harness.handle(Event::Opened(connection));
             }
         }
         assert!(expected.contains(&probes), "{probes} load report requests");
--- a/crates/core/tests/leaf/session.rs
+++ b/crates/core/tests/leaf/session.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-use ladder_core::leaf::event::{LaneKey, Outcome};
+use ladder_core::leaf::event::{ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event};
 use ladder_core::schema::outcome::Reason;
 use ladder_core::schema::{target, wire};
@@ -14,7 +14,7 @@
 struct SessionLog {
     harness: Harness,
     text: String,
-    connections: Vec<LaneKey>,
+    connections: Vec<ConnectionKey>,
 }
 
 impl SessionLog {
@@ -30,20 +30,22 @@
 
     fn line(&mut self, action: &Action) -> String {
         match action {
-            Action::Open { lane, address, .. } => {
-                self.connections.push(*lane);
-                format!("open connection {} to {address}", self.nth(*lane))
+            Action::Open { connection, address, .. } => {
+                self.connections.push(*connection);
+                format!("open connection {} to {address}", self.nth(*connection))
             }
-            Action::Close(lane) => format!("close connection {}", self.nth(*lane)),
-            Action::Send { lane, request, timeout, .. } => {
+            Action::Close(connection) => format!("close connection {}", self.nth(*connection)),
+            Action::Send { connection, request, timeout, .. } => {
                 let target::Request { id, operation, index, version, shards, key, .. } = request;
-                let (lane, timeout) = (self.nth(*lane), timeout.as_micros());
+                let (connection, timeout) = (self.nth(*connection), timeout.as_micros());
                 let asked = format!("{operation} {index}@{version} {shards:?} for {key}");
-                format!("send {id} on connection {lane}: {asked}, timeout {timeout} us")
+                format!("send {id} on connection {connection}: {asked}, timeout {timeout} us")
             }
-            Action::Cancel { lane, id } => format!("cancel {id} on connection {}", self.nth(*lane)),
-            Action::Probe { lane, server } => {
-                format!("request load report of {server} on connection {}", self.nth(*lane))
+            Action::Cancel { connection, id } => {
+                format!("cancel {id} on connection {}", self.nth(*connection))
+            }
+            Action::Probe { connection, server } => {
+                format!("request load report of {server} on connection {}", self.nth(*connection))
             }
             Action::Pending { to, pending } => {
                 format!(
@@ -82,8 +84,8 @@
     }
 
     /// Number of a connection in order of opening, from 1.
-    fn nth(&self, lane: LaneKey) -> usize {
-        let place = self.connections.iter().position(|other| *other == lane);
+    fn nth(&self, connection: ConnectionKey) -> usize {
+        let place = self.connections.iter().position(|other| *other == connection);
         place.map_or(0, |place| place + 1)
     }
 
--- a/crates/core/tests/leaf/simulation.rs
+++ b/crates/core/tests/leaf/simulation.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use ladder_core::leaf::Action;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::schema::outcome::Verdict;
 use ladder_core::schema::{target, wire};
 use ladder_core::time::Instant;
@@ -14,7 +14,7 @@
 
 /// State of a connection in the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lane {
+pub(crate) enum ConnectionState {
     Opening,
     Idle,
     Busy,
@@ -24,7 +24,7 @@
 /// An open call in the simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    pub(crate) lane: LaneKey,
+    pub(crate) connection: ConnectionKey,
     pub(crate) address: Arc<str>,
     pub(crate) request: target::Request,
 }
@@ -45,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Simulation {
     pub(crate) now: Instant,
-    pub(crate) lanes: BTreeMap<LaneKey, (Arc<str>, Lane)>,
+    pub(crate) connections: BTreeMap<ConnectionKey, (Arc<str>, ConnectionState)>,
     pub(crate) calls: BTreeMap<AttemptKey, Call>,
     pub(crate) servers: Vec<Server>,
     /// Deliveries by payload; the payload names query and round.
@@ -85,9 +85,11 @@
     pub(crate) fn end_call(&mut self, attempt: AttemptKey, outcome: &Outcome) -> Call {
         let call = self.calls.remove(&attempt).expect("an open call ends");
         match outcome {
-            Outcome::Answer(_) | Outcome::Refusal(_) => self.set_state(call.lane, Lane::Idle),
+            Outcome::Answer(_) | Outcome::Refusal(_) => {
+                self.set_state(call.connection, ConnectionState::Idle)
+            }
             _ => {
-                self.lanes.remove(&call.lane);
+                self.connections.remove(&call.connection);
             }
         }
         if matches!(outcome, Outcome::Refusal(_) | Outcome::Unsent) {
@@ -100,19 +102,21 @@
         call
     }
 
-    pub(crate) fn set_state(&mut self, lane: LaneKey, state: Lane) {
-        self.lanes.get_mut(&lane).expect("an open connection").1 = state;
+    pub(crate) fn set_state(&mut self, connection: ConnectionKey, state: ConnectionState) {
+        self.connections.get_mut(&connection).expect("an open connection").1 = state;
     }
 
     pub(crate) fn check(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
-                Action::Open { lane, address, .. } => self.check_open(*lane, address),
-                Action::Close(lane) => self.check_close(*lane),
-                Action::Send { lane, attempt, request, .. } => {
-                    self.check_send(*lane, *attempt, request);
+                Action::Open { connection, address, .. } => self.check_open(*connection, address),
+                Action::Close(connection) => self.check_close(*connection),
+                Action::Send { connection, attempt, request, .. } => {
+                    self.check_send(*connection, *attempt, request);
+                }
+                Action::Cancel { connection, .. } | Action::Probe { connection, .. } => {
+                    self.occupy(*connection)
                 }
-                Action::Cancel { lane, .. } | Action::Probe { lane, .. } => self.occupy(*lane),
                 Action::Reply { reply, .. } => self.check_reply(reply),
                 Action::Log(_)
                 | Action::Crashed { .. }
@@ -136,28 +140,35 @@
         self.servers.iter().find(|server| &*server.address == address)
     }
 
-    fn check_open(&mut self, lane: LaneKey, address: &Arc<str>) {
-        let open = self.lanes.values().filter(|(other, _)| other == address).count();
+    fn check_open(&mut self, connection: ConnectionKey, address: &Arc<str>) {
+        let open = self.connections.values().filter(|(other, _)| other == address).count();
         let share = self.server(address).expect("a listed server").share;
         assert!(open < share as usize, "connections beyond the share");
-        self.lanes.insert(lane, (Arc::clone(address), Lane::Opening));
+        self.connections.insert(connection, (Arc::clone(address), ConnectionState::Opening));
     }
 
-    fn check_close(&mut self, lane: LaneKey) {
-        let (_, state) = self.lanes.remove(&lane).expect("only an open connection is closed");
-        assert_ne!(state, Lane::Busy, "a closed connection carries a call");
+    fn check_close(&mut self, connection: ConnectionKey) {
+        let (_, state) =
+            self.connections.remove(&connection).expect("only an open connection is closed");
+        assert_ne!(state, ConnectionState::Busy, "a closed connection carries a call");
     }
 
-    fn occupy(&mut self, lane: LaneKey) {
-        let (_, state) = self.lanes.get(&lane).expect("only an open connection is used");
-        assert_eq!(*state, Lane::Idle, "a connection carries one request at a time");
-        self.set_state(lane, Lane::Control);
+    fn occupy(&mut self, connection: ConnectionKey) {
+        let (_, state) =
+            self.connections.get(&connection).expect("only an open connection is used");
+        assert_eq!(*state, ConnectionState::Idle, "a connection carries one request at a time");
+        self.set_state(connection, ConnectionState::Control);
     }
 
-    fn check_send(&mut self, lane: LaneKey, attempt: AttemptKey, request: &target::Request) {
-        self.occupy(lane);
-        self.set_state(lane, Lane::Busy);
-        let address = Arc::clone(&self.lanes[&lane].0);
+    fn check_send(
+        &mut self,
+        connection: ConnectionKey,
+        attempt: AttemptKey,
+        request: &target::Request,
+    ) {
+        self.occupy(connection);
+        self.set_state(connection, ConnectionState::Busy);
+        let address = Arc::clone(&self.connections[&connection].0);
         let server = self.server(&address).expect("a listed server");
         assert!(!server.leaving, "work for a leaving server");
         let slots = server.slots as usize;
@@ -172,7 +183,7 @@
             assert_eq!(*sent, 0, "an unrepeatable request is sent twice");
             *sent += 1;
         }
-        self.calls.insert(attempt, Call { lane, address, request: request.clone() });
+        self.calls.insert(attempt, Call { connection, address, request: request.clone() });
     }
 
     fn check_reply(&mut self, reply: &wire::Reply) {
--- a/crates/core/tests/leaf/stop.rs
+++ b/crates/core/tests/leaf/stop.rs
@@ -110,7 +110,11 @@
         harness.end_call(first.attempt, corrupted_answer(&first, case.corrupt));
         assert_eq!(harness.counted(count::Event::Drop, case.reason), 1, "{}", case.name);
         assert!(harness.replies().is_empty(), "{}", case.name);
-        assert!(harness.opened.iter().all(|(lane, _)| *lane != first.lane), "{}", case.name);
+        assert!(
+            harness.opened.iter().all(|(connection, _)| *connection != first.connection),
+            "{}",
+            case.name
+        );
         let second = harness.sent()[1].clone();
         harness.answer(&second);
         assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)], "{}", case.name);
--- a/src/entry/dialect.rs
+++ b/src/entry/dialect.rs
@@ -12,7 +12,7 @@
 use ladder_core::control;
 use ladder_core::control::reader::Read;
 use ladder_core::leaf;
-use ladder_core::leaf::event::{AttemptKey, LaneKey};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey};
 use ladder_core::time::Instant;
 use ladder_schema::target;
 
@@ -87,16 +87,22 @@
 /// each one ended, as described at [`leaf::Action`].
 pub trait Servers {
     /// Opens a connection to the server `server` at `address`.
-    fn open(&self, lane: LaneKey, address: &Arc<str>, server: &Arc<str>);
+    fn open(&self, connection: ConnectionKey, address: &Arc<str>, server: &Arc<str>);
     /// Closes a connection; no further event is reported for it.
-    fn close(&self, lane: LaneKey);
+    fn close(&self, connection: ConnectionKey);
     /// Sends a request on a connection. The request counts as lost if no response has arrived by
     /// `until`.
-    fn send(&self, lane: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant);
+    fn send(
+        &self,
+        connection: ConnectionKey,
+        attempt: AttemptKey,
+        request: target::Request,
+        until: Instant,
+    );
     /// Asks the server to cancel the request `id`.
-    fn cancel(&self, lane: LaneKey, id: &str);
+    fn cancel(&self, connection: ConnectionKey, id: &str);
     /// Asks the server for a load report.
-    fn probe(&self, lane: LaneKey, server: Arc<str>);
+    fn probe(&self, connection: ConnectionKey, server: Arc<str>);
 }
 
 /// Reads records from the platform. Each read ends with exactly one event to the control machine: a
--- a/src/entry/leaf.rs
+++ b/src/entry/leaf.rs
@@ -77,15 +77,15 @@
     fn execute(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for action in actions.drain(..) {
             match action {
-                Action::Open { lane, address, server } => {
-                    self.servers.open(lane, &address, &server);
+                Action::Open { connection, address, server } => {
+                    self.servers.open(connection, &address, &server);
                 }
-                Action::Close(lane) => self.servers.close(lane),
-                Action::Send { lane, attempt, request, timeout } => {
-                    self.servers.send(lane, attempt, request, now + timeout);
+                Action::Close(connection) => self.servers.close(connection),
+                Action::Send { connection, attempt, request, timeout } => {
+                    self.servers.send(connection, attempt, request, now + timeout);
                 }
-                Action::Cancel { lane, id } => self.servers.cancel(lane, &id),
-                Action::Probe { lane, server } => self.servers.probe(lane, server),
+                Action::Cancel { connection, id } => self.servers.cancel(connection, &id),
+                Action::Probe { connection, server } => self.servers.probe(connection, server),
                 Action::Reply { to, reply } => self.queue_reply(&to, reply),
                 Action::Pending { to, pending } => {
                     self.frames.entry(to.address).or_default().pending.push(pending);
--- a/src/entry/native.rs
+++ b/src/entry/native.rs
@@ -1,7 +1,7 @@
 //! The built-in dialect: JSON over HTTP with callers, servers and the platform.
 
 mod callers;
-mod lanes;
+mod connections;
 mod records;
 
 use futures_util::FutureExt;
@@ -12,7 +12,7 @@
 use super::door::Door;
 
 pub use callers::decode;
-pub use lanes::{broken, outcome};
+pub use connections::{broken, outcome};
 
 /// The built-in dialect.
 #[derive(Clone, Copy, Debug, Default)]
@@ -24,7 +24,7 @@
     }
 
     fn servers(&self, reports: Reports) -> Box<dyn Servers> {
-        Box::new(lanes::Connections::new(reports))
+        Box::new(connections::Connections::new(reports))
     }
 
     fn publication(&self, shared: &Shared) -> Box<dyn Publication> {
--- a/src/entry/native/lanes.rs
+++ b/src/entry/native/connections.rs
@@ -12,7 +12,7 @@
 use ladder_core::collections::Map;
 use ladder_core::control;
 use ladder_core::leaf::Event;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::time::Instant;
 use ladder_schema::{bounds, target};
 use serde::de::DeserializeOwned;
@@ -39,7 +39,7 @@
 pub(super) struct Connections {
     /// Invariant: holds exactly the connections that the leaf machine considers open or being
     /// opened.
-    connections: Rc<RefCell<Map<LaneKey, Connection>>>,
+    connections: Rc<RefCell<Map<ConnectionKey, Connection>>>,
     reports: Reports,
 }
 
@@ -50,13 +50,13 @@
     }
 
     /// Returns the connection `key`, unless it was closed.
-    fn get(&self, key: LaneKey) -> Option<Connection> {
+    fn get(&self, key: ConnectionKey) -> Option<Connection> {
         self.connections.borrow().get(&key).cloned()
     }
 
     /// Reports the connection as idle if its last exchange was complete; otherwise closes it and
     /// reports it as closed.
-    fn report_end(&self, key: LaneKey, complete: bool) {
+    fn report_end(&self, key: ConnectionKey, complete: bool) {
         if complete {
             self.reports.leaf.tell(Event::Opened(key));
         } else {
@@ -69,7 +69,7 @@
 impl Servers for Connections {
     /// Opens a connection by requesting a load report, so that the first query needs no connection
     /// setup.
-    fn open(&self, key: LaneKey, address: &Arc<str>, _server: &Arc<str>) {
+    fn open(&self, key: ConnectionKey, address: &Arc<str>, _server: &Arc<str>) {
         let connection = Connection { client: client(), address: Arc::clone(address) };
         self.connections.borrow_mut().insert(key, connection.clone());
         let connections = self.clone();
@@ -86,13 +86,19 @@
     }
 
     /// Closes a connection.
-    fn close(&self, key: LaneKey) {
+    fn close(&self, key: ConnectionKey) {
         self.connections.borrow_mut().remove(&key);
     }
 
     /// Sends a request and reports how it ended. The request counts as lost if no response has
     /// arrived by `until`.
-    fn send(&self, key: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant) {
+    fn send(
+        &self,
+        key: ConnectionKey,
+        attempt: AttemptKey,
+        request: target::Request,
+        until: Instant,
+    ) {
         let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Ended { attempt, outcome: Outcome::Unsent });
             return;
@@ -111,7 +117,7 @@
     }
 
     /// Asks the server to cancel the request `id`.
-    fn cancel(&self, key: LaneKey, id: &str) {
+    fn cancel(&self, key: ConnectionKey, id: &str) {
         let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Closed(key));
             return;
@@ -128,7 +134,7 @@
     }
 
     /// Asks the server for a load report.
-    fn probe(&self, key: LaneKey, server: Arc<str>) {
+    fn probe(&self, key: ConnectionKey, server: Arc<str>) {
         let Some(connection) = self.get(key) else {
             self.reports.leaf.tell(Event::Closed(key));
             return;
--- a/tests/integration/main.rs
+++ b/tests/integration/main.rs
@@ -2,10 +2,10 @@
 //! connects them.
 
 mod catalogue;
+mod connections;
 mod crash;
 mod decoders;
 mod fleet;
-mod lanes;
 mod leaving;
 mod link;
 mod partition;
