--- a/src/entry.rs
+++ b/src/entry.rs
@@ -11,7 +11,7 @@
 pub mod admin;
 pub mod control;
 pub mod dialect;
-pub mod door;
+pub mod gateway;
 pub mod gather;
 pub mod leaf;
 pub mod native;
--- a/src/entry/dialect.rs
+++ b/src/entry/dialect.rs
@@ -17,14 +17,14 @@
 use ladder_schema::target;
 
 use super::Shared;
-use super::door::Door;
+use super::gateway::Gateway;
 use crate::clock::Clock;
 use crate::driver::Handle;
 
 /// The protocols of one deployment. Each part is created on the thread that uses it.
 pub trait Dialect: Send + Sync {
     /// Serves callers and the load balancer's readiness checks until the process ends.
-    fn callers(&self, door: Door, listeners: Listeners) -> LocalBoxFuture<'static, ()>;
+    fn callers(&self, gateway: Gateway, listeners: Listeners) -> LocalBoxFuture<'static, ()>;
     /// Creates the connections to servers.
     fn servers(&self, reports: Reports) -> Box<dyn Servers>;
     /// Creates the client that reads records from the platform.
--- a/src/entry/door.rs
+++ b/src/entry/gateway.rs
@@ -43,26 +43,26 @@
 /// Reports [`Event::Gone`] to the gathering machine if it is dropped before the answer was sent, as
 /// happens when the caller closes its connection.
 struct CallerGuard {
-    door: Door,
+    gateway: Gateway,
     caller: Caller,
 }
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        if self.door.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
-            self.door.shared.gather.tell(Event::Gone(self.caller));
+        if self.gateway.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
+            self.gateway.shared.gather.tell(Event::Gone(self.caller));
         }
     }
 }
 
 /// Accepts callers' requests; all clones pass them to the same gathering machine.
 #[derive(Clone)]
-pub struct Door {
+pub struct Gateway {
     shared: Rc<Shared>,
     waiting: Rc<RefCell<WaitingCallers>>,
 }
 
-impl Door {
+impl Gateway {
     /// Creates a handler of callers' requests that registers the waiting callers in `waiting`.
     pub fn new(shared: Shared, waiting: Rc<RefCell<WaitingCallers>>) -> Self {
         Self { shared: Rc::new(shared), waiting }
@@ -87,11 +87,11 @@
 
     /// Passes a request to the gathering machine and waits for the answer. If the returned future
     /// is dropped before the answer, the machine is informed that the caller has disconnected.
-    pub async fn ask(&self, request: call::Request) -> call::Answer {
+    pub async fn answer(&self, request: call::Request) -> call::Answer {
         let key = request.key.clone();
         let arrived_at = self.shared.clock.now();
         let (caller, receiver) = self.waiting.borrow_mut().register();
-        let guard = CallerGuard { door: self.clone(), caller };
+        let guard = CallerGuard { gateway: self.clone(), caller };
         self.shared.gather.tell(Event::Call { caller, request });
         let answer = match receiver.await {
             Ok(answer) => answer,
--- a/src/entry/gather.rs
+++ b/src/entry/gather.rs
@@ -13,7 +13,7 @@
 
 use super::Shared;
 use super::dialect::Listeners;
-use super::door::{Door, WaitingCallers};
+use super::gateway::{Gateway, WaitingCallers};
 use crate::driver::{self, ActionExecutor, Driver, Inbox};
 
 impl driver::Machine for Machine {
@@ -96,8 +96,8 @@
 /// Runs the gathering machine and serves callers until the process ends.
 pub async fn run(shared: Shared, inbox: Inbox<Machine>, listeners: Listeners) {
     let waiting = Rc::new(RefCell::new(WaitingCallers::default()));
-    let door = Door::new(shared.clone(), Rc::clone(&waiting));
-    actix_rt::spawn(shared.dialect.callers(door, listeners));
+    let gateway = Gateway::new(shared.clone(), Rc::clone(&waiting));
+    actix_rt::spawn(shared.dialect.callers(gateway, listeners));
     let strategy = shared.options.strategy;
     let mut settings =
         Settings::builder(&shared.local_peer.name, shared.incarnation).hedging(strategy.hedging);
--- a/src/entry/native.rs
+++ b/src/entry/native.rs
@@ -9,7 +9,7 @@
 
 use super::Shared;
 use super::dialect::{Dialect, Listeners, Publication, Reports, Servers};
-use super::door::Door;
+use super::gateway::Gateway;
 
 pub use callers::decode;
 pub use connections::{broken, outcome};
@@ -19,8 +19,8 @@
 pub struct Native;
 
 impl Dialect for Native {
-    fn callers(&self, door: Door, listeners: Listeners) -> LocalBoxFuture<'static, ()> {
-        callers::serve(door, listeners).boxed_local()
+    fn callers(&self, gateway: Gateway, listeners: Listeners) -> LocalBoxFuture<'static, ()> {
+        callers::serve(gateway, listeners).boxed_local()
     }
 
     fn servers(&self, reports: Reports) -> Box<dyn Servers> {
--- a/src/entry/native/callers.rs
+++ b/src/entry/native/callers.rs
@@ -10,13 +10,13 @@
 use tokio::net::TcpListener;
 
 use crate::entry::dialect::Listeners;
-use crate::entry::door::{Door, refusal};
+use crate::entry::gateway::{Gateway, refusal};
 use crate::http::{self, BodyError};
 
 /// Serves callers and the load balancer; the load balancer at a separate address if the settings
 /// define one.
-pub(super) async fn serve(door: Door, listeners: Listeners) {
-    let api = CallerApi { door };
+pub(super) async fn serve(gateway: Gateway, listeners: Listeners) {
+    let api = CallerApi { gateway };
     if let Some(ready) = listeners.ready.and_then(|ready| TcpListener::from_std(ready).ok()) {
         let api = api.clone();
         actix_rt::spawn(http::serve(ready, move |request| api.clone().handle(request)));
@@ -29,7 +29,7 @@
 /// Handles the HTTP requests of callers and the load balancer.
 #[derive(Clone)]
 struct CallerApi {
-    door: Door,
+    gateway: Gateway,
 }
 
 impl CallerApi {
@@ -40,7 +40,7 @@
                 let body = http::body(&mut request, bounds::REQUEST_BYTES).await;
                 self.query(body).await
             }
-            (&Method::GET, "/ready") if self.door.is_ready() => {
+            (&Method::GET, "/ready") if self.gateway.is_ready() => {
                 http::text(StatusCode::OK, "ready\n")
             }
             (&Method::GET, "/ready") => http::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
@@ -57,7 +57,7 @@
             Ok(request) => request,
             Err(answer) => return self.respond(&answer),
         };
-        let answer = self.door.ask(request).await;
+        let answer = self.gateway.answer(request).await;
         self.respond(&answer)
     }
 
@@ -66,7 +66,7 @@
         let status = StatusCode::from_u16(gather::status(answer))
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let mut response = http::json(status, answer);
-        if self.door.is_draining() {
+        if self.gateway.is_draining() {
             // A request that is sent on an open connection just when the process ends would be
             // aborted and leave its caller without a verdict. Connections are therefore closed
             // earlier, with the last answer.
