--- a/crates/core/src/control.rs
+++ b/crates/core/src/control.rs
@@ -8,7 +8,6 @@
 //! - [`reader`]: which instances watch the platform;
 //! - [`quarantine`]: requests under which server processes crash.
 
-pub mod belief;
 mod broadcast;
 pub mod event;
 pub mod hash;
@@ -19,6 +18,7 @@
 pub mod quarantine;
 pub mod reader;
 pub mod settings;
+pub mod state_change;
 pub mod store;
 pub mod withdrawal;
 
--- a/crates/core/src/control/event.rs
+++ b/crates/core/src/control/event.rs
@@ -5,9 +5,9 @@
 
 use ladder_schema::{publication, wire};
 
-use super::belief::Belief;
 use super::quarantine::Incarnation;
 use super::reader::Read;
+use super::state_change::StateChange;
 use crate::count::Count;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
@@ -88,7 +88,7 @@
         detail: String,
     },
     /// Log a change of this instance's state of the fleet.
-    Log(Belief),
+    Log(StateChange),
     /// Increment a counter.
     Count(Count),
 }
--- a/crates/core/src/control/machine.rs
+++ b/crates/core/src/control/machine.rs
@@ -9,13 +9,13 @@
 use ladder_schema::publication::Record;
 use ladder_schema::wire::{Frame, Liveness};
 
-use super::belief::Belief;
 use super::hash::{self, Random};
 use super::membership::{Member, Membership, Standing};
 use super::project::{Projection, Standings, ViewInputs};
 use super::quarantine::{Cause, Change, Entry, Quarantine};
 use super::reader::{self, Reader, ReaderRank};
 use super::settings::{Listing, Settings};
+use super::state_change::StateChange;
 use super::store::{Key, Refusal, Store};
 use super::withdrawal::Withdrawals;
 use super::{Action, Event};
@@ -155,7 +155,7 @@
                 let timing = self.reader_timing();
                 let failure = self.reader.failed(now, timing, &mut self.random);
                 let revision = self.store.revision();
-                out.push(Action::Log(Belief::PlatformLost { revision, failure }));
+                out.push(Action::Log(StateChange::PlatformLost { revision, failure }));
             }
             Event::WatchExpired => self.reader.expired(now),
             Event::LinkDown(name) => self.membership.link_down(now, &name),
@@ -349,7 +349,7 @@
             .collect();
         changed.sort_unstable();
         out.extend(changed.into_iter().map(|(name, before, now)| {
-            Action::Log(Belief::Member { name: Arc::clone(name), before, now })
+            Action::Log(StateChange::Member { name: Arc::clone(name), before, now })
         }));
     }
 
@@ -419,7 +419,7 @@
             return;
         }
         out.extend(changes.into_iter().map(|change| {
-            Action::Log(Belief::Quarantine {
+            Action::Log(StateChange::Quarantine {
                 request: change.request,
                 standing: change.standing,
                 cause: change.cause,
--- a/crates/core/src/control/machine/exchange.rs
+++ b/crates/core/src/control/machine/exchange.rs
@@ -10,9 +10,9 @@
     Machine, PROPAGATION_TIME, START_FANOUT,
 };
 use crate::control::Action;
-use crate::control::belief::Belief;
 use crate::control::broadcast::{self, PendingChanges};
 use crate::control::membership::{FrameEffect, Member};
+use crate::control::state_change::StateChange;
 use crate::time::Instant;
 
 /// Address of a peer, and whether the peer is in another zone.
@@ -44,7 +44,10 @@
         }
         let new_generation = self.membership.own().generation;
         if new_generation != generation {
-            out.push(Action::Log(Belief::Outlived { before: generation, now: new_generation }));
+            out.push(Action::Log(StateChange::GenerationRaised {
+                before: generation,
+                now: new_generation,
+            }));
             out.push(Action::Generation(new_generation));
         }
         self.reader.note_peer_platform_age(now, frame.platform_age_ms);
--- a/crates/core/src/control/machine/records.rs
+++ b/crates/core/src/control/machine/records.rs
@@ -10,8 +10,8 @@
 use super::Machine;
 use crate::collections::Set;
 use crate::control::Action;
-use crate::control::belief::Belief;
 use crate::control::broadcast::PendingChanges;
+use crate::control::state_change::StateChange;
 use crate::control::store::{Key, Outcome};
 use crate::control::withdrawal;
 use crate::count::{self, Count};
@@ -22,7 +22,7 @@
         if self.reader.is_failing() {
             self.withdrawals.platform_returned(now);
             let silence = self.reader.silence(now);
-            out.push(Action::Log(Belief::PlatformRegained { revision: page.head, silence }));
+            out.push(Action::Log(StateChange::PlatformRegained { revision: page.head, silence }));
         }
         if page.whole || page.current {
             self.reader.caught_up(now, page.head);
@@ -69,7 +69,7 @@
             return;
         };
         let withdrawn = changes.records.iter().filter(|record| is_tombstone(record)).count();
-        out.push(Action::Log(Belief::Records {
+        out.push(Action::Log(StateChange::Records {
             from: from.into(),
             revision: newest,
             count: changes.records.len(),
@@ -81,18 +81,18 @@
     }
 
     /// The separate log entry of a record, for routes, evacuations and the end of an evacuation.
-    fn record_log_entry(&self, record: &Record) -> Option<Belief> {
+    fn record_log_entry(&self, record: &Record) -> Option<StateChange> {
         let revision = record.revision;
         let (zone, evacuated) = match &record.body {
             Some(Body::Routing(routing)) => {
-                return Some(Belief::Routes { version: routing.version, revision });
+                return Some(StateChange::Routes { version: routing.version, revision });
             }
             Some(Body::Evacuation(evacuation)) => (&evacuation.zone, true),
             Some(Body::Tombstone(gone)) if gone.kind() == Kind::Evacuation => (&gone.name, false),
             _ => return None,
         };
         let servers = self.store.servers_in(zone);
-        Some(Belief::Evacuation { zone: zone.as_str().into(), evacuated, revision, servers })
+        Some(StateChange::Evacuation { zone: zone.as_str().into(), evacuated, revision, servers })
     }
 
     /// Availability zones under evacuation: name, revision of the order, number of published
@@ -131,7 +131,7 @@
         if count == 0 || !self.withdrawals.is_doubtful(now, count, live) {
             return records;
         }
-        out.push(Action::Log(Belief::Doubted { count, live }));
+        out.push(Action::Log(StateChange::WithdrawalsDeferred { count, live }));
         let (doubted, accepted): (Vec<_>, Vec<_>) = records.into_iter().partition(withdraws_live);
         for tombstone in doubted {
             self.withdrawals.hold_back(now, Key::of(&tombstone), tombstone);
--- a/crates/core/src/control/belief.rs
+++ b/crates/core/src/control/state_change.rs
@@ -10,7 +10,7 @@
 
 /// A change of this instance's state of the fleet or the publication, with its reason.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Belief {
+pub enum StateChange {
     /// A read of the platform failed.
     PlatformLost {
         /// Highest revision known to this instance.
@@ -37,7 +37,7 @@
         withdrawn: usize,
     },
     /// Withdrawals of live servers are held back, because they may be an error of the platform.
-    Doubted {
+    WithdrawalsDeferred {
         /// Number of withdrawals held back.
         count: usize,
         /// Number of live servers known to this instance.
@@ -63,7 +63,7 @@
         servers: usize,
     },
     /// Peers knew an earlier incarnation of this instance under a higher generation than its own.
-    Outlived {
+    GenerationRaised {
         /// Generation of this instance before the change.
         before: u64,
         /// Generation of this instance from now on.
--- a/crates/core/tests/fleet/session.rs
+++ b/crates/core/tests/fleet/session.rs
@@ -20,7 +20,7 @@
         }
         Action::Watch(read) => Some(format!("watch after {} for {:?}", read.after, read.wait)),
         Action::View(view) => Some(view_line(view)),
-        Action::Log(belief) => Some(format!("log {belief:?}")),
+        Action::Log(state_change) => Some(format!("log {state_change:?}")),
         Action::Refused { record, detail, .. } => Some(format!("refused {record}: {detail}")),
         Action::Generation(generation) => Some(format!("generation {generation}")),
         Action::Count(_) => None,
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -75,7 +75,7 @@
                     warn!(self.shared.log, "published record refused"; "record" => record,
                         "revision" => revision, "detail" => detail);
                 }
-                Action::Log(belief) => log::belief(&self.shared.log, &belief),
+                Action::Log(state_change) => log::state_change(&self.shared.log, &state_change),
                 Action::Count(count) => self.shared.metrics.count(count),
             }
         }
--- a/src/log.rs
+++ b/src/log.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use ladder_core::control::belief::Belief;
+use ladder_core::control::state_change::StateChange;
 use ladder_schema::settings::{Format, Level, Log};
 use slog::{Drain, Logger, info, o, warn};
 
@@ -47,33 +47,33 @@
 }
 
 /// Logs a change in the state that the control machine keeps.
-pub fn belief(log: &Logger, belief: &Belief) {
-    match belief {
-        Belief::PlatformLost { revision, failure } => {
+pub fn state_change(log: &Logger, state_change: &StateChange) {
+    match state_change {
+        StateChange::PlatformLost { revision, failure } => {
             warn!(log, "platform unreachable"; "revision" => revision,
                 "failures" => failure.failures, "waited_ms" => whole_millis(failure.waited),
                 "again_in_ms" => whole_millis(failure.pause));
         }
-        Belief::PlatformRegained { revision, silence } => {
+        StateChange::PlatformRegained { revision, silence } => {
             info!(log, "platform reachable again"; "revision" => revision,
                 "silent_ms" => whole_millis(*silence));
         }
-        Belief::Records { from, revision, count, withdrawn } => {
+        StateChange::Records { from, revision, count, withdrawn } => {
             let from = if from.is_empty() { "platform" } else { from };
             info!(log, "records in force"; "from" => from, "revision" => revision,
                 "records" => count, "withdrawn" => withdrawn);
         }
-        Belief::Doubted { count, live } => {
+        StateChange::WithdrawalsDeferred { count, live } => {
             warn!(log, "withdrawals of servers deferred as implausible"; "servers" => count,
                 "live" => live);
         }
-        Belief::Routes { version, revision } => {
+        StateChange::Routes { version, revision } => {
             info!(log, "routes in force"; "version" => version, "revision" => revision);
         }
-        Belief::Outlived { before, now } => {
+        StateChange::GenerationRaised { before, now } => {
             warn!(log, "generation raised"; "before" => before, "now" => now);
         }
-        Belief::Quarantine { request, standing, cause, incarnations, from } => {
+        StateChange::Quarantine { request, standing, cause, incarnations, from } => {
             let from = if from.is_empty() { "here" } else { from };
             let incarnations = incarnations
                 .iter()
@@ -82,11 +82,11 @@
                 "cause" => ?cause,
                 "servers" => incarnations.collect::<Vec<_>>().join(" "), "from" => from);
         }
-        Belief::Evacuation { zone, evacuated, revision, servers } => {
+        StateChange::Evacuation { zone, evacuated, revision, servers } => {
             warn!(log, "evacuation changed"; "zone" => &**zone, "evacuated" => evacuated,
                 "revision" => revision, "servers" => servers);
         }
-        Belief::Member { name, before, now } => {
+        StateChange::Member { name, before, now } => {
             info!(log, "member state changed"; "member" => &**name,
                 "before" => ?before, "now" => ?now);
         }
