--- a/crates/core/examples/scale/gather.rs
+++ b/crates/core/examples/scale/gather.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Action, Event, Machine, Settings};
 use ladder_core::schema::outcome::Verdict;
 use ladder_core::schema::publication::{Index, Shard, record::Body};
@@ -83,7 +83,7 @@
         self.callers += 1;
         self.now = self.now + Duration::from_millis(1);
         let call = Event::Call {
-            caller: Caller(self.callers),
+            caller: CallerId(self.callers),
             request: call::Request {
                 key: format!("key-{}", self.callers),
                 index: index_name(0),
--- a/crates/core/src/gather.rs
+++ b/crates/core/src/gather.rs
@@ -45,6 +45,6 @@
 
 pub use answer::status;
 pub use event::{Action, Event};
-pub use history::{Explanation, Stamp, Step};
+pub use history::{Explanation, Step, TimedStep};
 pub use machine::Machine;
 pub use settings::{Builder, Settings};
--- a/crates/core/src/gather/event.rs
+++ b/crates/core/src/gather/event.rs
@@ -12,7 +12,7 @@
 
 /// Number of a caller's open HTTP request, assigned by the code that runs the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Caller(pub u64);
+pub struct CallerId(pub u64);
 
 /// Events that the gathering machine handles.
 #[derive(Clone, Debug)]
@@ -20,12 +20,12 @@
     /// A caller's request arrived and was decoded.
     Call {
         /// The caller that has to be answered.
-        caller: Caller,
+        caller: CallerId,
         /// The caller's decoded request.
         request: call::Request,
     },
     /// The caller closed its connection.
-    Gone(Caller),
+    CallerLeft(CallerId),
     /// Replies to portions (sub-requests to single services) arrived from one instance.
     Replies {
         /// Name of the instance that sent the replies.
@@ -62,7 +62,7 @@
     /// caller disconnects.
     Answer {
         /// The caller that receives the answer.
-        caller: Caller,
+        caller: CallerId,
         /// The answer for the caller.
         answer: call::Answer,
     },
--- a/crates/core/src/gather/failover.rs
+++ b/crates/core/src/gather/failover.rs
@@ -210,7 +210,8 @@
         let Some(state) = self.peers.get(peer) else {
             return;
         };
-        let step = Step::Lost { owner: state.peer.name.clone(), portions: portions.len() as u32 };
+        let step =
+            Step::OwnerLost { owner: state.peer.name.clone(), portions: portions.len() as u32 };
         self.history.add(self.queries[key].history_id, now, step);
     }
 
--- a/crates/core/src/gather/history.rs
+++ b/crates/core/src/gather/history.rs
@@ -66,7 +66,7 @@
         reason: Reason,
     },
     /// The query no longer relies on its portions at an owner.
-    Lost {
+    OwnerLost {
         /// Name of the owner's instance.
         owner: Arc<str>,
         /// Number of portions that are no longer relied on.
@@ -83,7 +83,7 @@
         portions: u32,
     },
     /// The caller closed its connection.
-    Gone,
+    CallerLeft,
     /// The caller was answered.
     Answered {
         /// Verdict of the answer: whether the request ran.
@@ -99,7 +99,7 @@
 
 /// A step of a query with the time at which it happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Stamp {
+pub struct TimedStep {
     /// Time at which the step happened.
     pub at: Instant,
     /// The step of the query.
@@ -114,7 +114,7 @@
     /// Query number, as sent to owners, that the query had before any restart.
     pub query: u64,
     /// Steps of the query, oldest first.
-    pub steps: Vec<Stamp>,
+    pub steps: Vec<TimedStep>,
     /// Number of steps that were left out because the query has too many.
     pub omitted: u32,
 }
@@ -122,17 +122,20 @@
 impl Explanation {
     /// Returns whether all shards were covered at the first attempt and within the target time.
     pub fn is_plain(&self) -> bool {
-        let first = self.steps.first().map(|stamp| stamp.at).unwrap_or_default();
+        let first = self.steps.first().map(|timed_step| timed_step.at).unwrap_or_default();
         let mut target = Duration::ZERO;
-        self.steps.iter().all(|stamp| match &stamp.step {
+        self.steps.iter().all(|timed_step| match &timed_step.step {
             Step::Routed { target: route_target, .. } => {
                 target = *route_target;
                 true
             }
             Step::Sent { again, .. } => again.is_none(),
-            Step::Lost { .. } | Step::Refused { .. } | Step::Withdrawn { .. } | Step::Gone => false,
+            Step::OwnerLost { .. }
+            | Step::Refused { .. }
+            | Step::Withdrawn { .. }
+            | Step::CallerLeft => false,
             Step::Answered { reason, missing, .. } => {
-                let is_late = !target.is_zero() && stamp.at.since(first) > target;
+                let is_late = !target.is_zero() && timed_step.at.since(first) > target;
                 *reason == Reason::Unspecified && *missing == 0 && !is_late
             }
             Step::Arrived { .. } | Step::Pinned { .. } | Step::Replied { .. } => true,
@@ -187,7 +190,7 @@
             explanation.omitted += 1;
             return;
         }
-        explanation.steps.push(Stamp { at, step });
+        explanation.steps.push(TimedStep { at, step });
     }
 
     /// Returns the history with this identifier if it has not left the ring buffer.
--- a/crates/core/src/gather/machine.rs
+++ b/crates/core/src/gather/machine.rs
@@ -9,7 +9,7 @@
 
 use super::avoid::AvoidedServers;
 use super::check::{self, Refusal};
-use super::event::{Action, Caller, Event};
+use super::event::{Action, CallerId, Event};
 use super::forward::RoutePlanner;
 use super::history::{Explanation, History, Step};
 use super::keys::RequestKeys;
@@ -55,7 +55,7 @@
     /// Open queries by caller.
     ///
     /// Invariant: contains exactly the callers of `queries`.
-    pub(crate) query_by_caller: Map<Caller, QueryKey>,
+    pub(crate) query_by_caller: Map<CallerId, QueryKey>,
     /// The query number that was assigned last.
     last_number: u64,
     pub(crate) request_keys: RequestKeys,
@@ -88,8 +88,8 @@
 
     /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
-        if let Event::Gone(caller) = event {
-            self.handle_gone(now, caller, out);
+        if let Event::CallerLeft(caller) = event {
+            self.handle_caller_left(now, caller, out);
         }
         // Expired queries end before the event is handled, so that nothing is sent for a query
         // whose deadline passed while the machine was not woken.
@@ -110,7 +110,7 @@
                 self.draining = true;
                 self.finish_all(now, out);
             }
-            Event::Gone(_) | Event::Tick => {}
+            Event::CallerLeft(_) | Event::Tick => {}
         }
         self.serve_timers(now, out);
     }
@@ -140,7 +140,7 @@
     fn handle_call(
         &mut self,
         now: Instant,
-        caller: Caller,
+        caller: CallerId,
         request: call::Request,
         out: &mut Vec<Action>,
     ) {
@@ -209,7 +209,7 @@
     fn start(
         &mut self,
         now: Instant,
-        caller: Caller,
+        caller: CallerId,
         request: call::Request,
         ids: QueryIds,
         plan: Plan,
@@ -236,7 +236,7 @@
         self.finish_if_settled(now, key, out);
     }
 
-    fn handle_gone(&mut self, now: Instant, caller: Caller, out: &mut Vec<Action>) {
+    fn handle_caller_left(&mut self, now: Instant, caller: CallerId, out: &mut Vec<Action>) {
         let Some(&key) = self.query_by_caller.get(&caller) else {
             return;
         };
@@ -244,7 +244,7 @@
         let Some(query) = self.remove_query(key) else {
             return;
         };
-        self.history.add(query.history_id, now, Step::Gone);
+        self.history.add(query.history_id, now, Step::CallerLeft);
         self.log_if_notable(query.history_id, out);
         if query.terms.unrepeatable {
             self.request_keys.end(&query.request.key, answer::query_verdict(&query));
@@ -255,7 +255,7 @@
     pub(crate) fn send_answer(
         &mut self,
         now: Instant,
-        caller: Caller,
+        caller: CallerId,
         history_id: u64,
         mut answer: call::Answer,
         out: &mut Vec<Action>,
--- a/crates/core/src/gather/query.rs
+++ b/crates/core/src/gather/query.rs
@@ -8,7 +8,7 @@
 use ladder_schema::publication::Index;
 use slotmap::new_key_type;
 
-use super::event::Caller;
+use super::event::CallerId;
 use super::peers::PeerKey;
 use super::plan::{Plan, ServiceShards, Terms};
 use crate::eligible::Mark;
@@ -164,7 +164,7 @@
 #[derive(Debug)]
 pub(crate) struct Query {
     /// The caller that has to be answered.
-    pub(crate) caller: Caller,
+    pub(crate) caller: CallerId,
     /// The caller's request.
     pub(crate) request: call::Request,
     /// Number of the query in messages to owners; a restart on another index version assigns a new
@@ -257,7 +257,7 @@
     /// Creates a query for a planned request; no portion has been sent yet.
     pub(crate) fn new(
         now: Instant,
-        caller: Caller,
+        caller: CallerId,
         request: call::Request,
         ids: QueryIds,
         plan: Plan,
--- a/crates/core/tests/gather/any_order.rs
+++ b/crates/core/tests/gather/any_order.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Event, Machine, Settings};
 use ladder_core::schema::call::{Part, Request};
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -79,7 +79,7 @@
 
     fn call(&mut self, a: u8, b: u8, c: u8) {
         self.callers += 1;
-        let caller = Caller(self.callers);
+        let caller = CallerId(self.callers);
         let operation = ["sweep", "check", "book", "book"][usize::from(a % 4)];
         let shards = ["a", "b", "c", "d", "e", "f", "g"];
         let asked = shards.iter().enumerate().filter(|(bit, _)| b >> bit & 1 == 1);
@@ -95,9 +95,9 @@
     }
 
     fn disconnect(&mut self, a: u8) {
-        let caller = Caller(self.callers.saturating_sub(u64::from(a % 4)));
+        let caller = CallerId(self.callers.saturating_sub(u64::from(a % 4)));
         self.oracle.record_disconnect(caller);
-        self.deliver(Event::Gone(caller));
+        self.deliver(Event::CallerLeft(caller));
     }
 
     /// Delivers a reply to one of the last 16 sendings; the low four bits of `c` select a change
--- a/crates/core/tests/gather/forward.rs
+++ b/crates/core/tests/gather/forward.rs
@@ -297,8 +297,10 @@
         assert!(answers(&actions).is_empty(), "{name}: the owner is awaited");
         assert!(actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{name}");
         let account = harness.machine.explain("key of /docks/all").expect("a history");
-        let withdrawn =
-            account.steps.iter().any(|stamp| matches!(stamp.step, Step::Withdrawn { portions: 1 }));
+        let withdrawn = account
+            .steps
+            .iter()
+            .any(|timed_step| matches!(timed_step.step, Step::Withdrawn { portions: 1 }));
         assert!(withdrawn, "{name}: the history has the step");
         let actions = match last_reply {
             Some(last_reply) => harness.reply(SELF, last_reply(&work)),
--- a/crates/core/tests/gather/oracle.rs
+++ b/crates/core/tests/gather/oracle.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Action, Machine, status};
 use ladder_core::schema::call::{Answer, Request};
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -17,7 +17,7 @@
 /// A portion that was sent to an owner, with the first valid reply to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Sent {
-    pub(crate) caller: Caller,
+    pub(crate) caller: CallerId,
     pub(crate) to: String,
     pub(crate) work: Work,
     pub(crate) portion: Portion,
@@ -58,19 +58,19 @@
 /// Checks every action of the machine against the preceding events and actions.
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
-    open: BTreeMap<Caller, OpenCall>,
+    open: BTreeMap<CallerId, OpenCall>,
     pub(crate) sent: Vec<Sent>,
     /// Shard names of each version that was in any view.
     pub(crate) shards_by_version: BTreeMap<u64, Vec<String>>,
 }
 
 impl Oracle {
-    pub(crate) fn record_call(&mut self, now: Instant, caller: Caller, request: &Request) {
+    pub(crate) fn record_call(&mut self, now: Instant, caller: CallerId, request: &Request) {
         let open = OpenCall { request: request.clone(), arrived: now };
         self.open.insert(caller, open);
     }
 
-    pub(crate) fn record_disconnect(&mut self, caller: Caller) {
+    pub(crate) fn record_disconnect(&mut self, caller: CallerId) {
         self.open.remove(&caller);
     }
 
@@ -106,7 +106,7 @@
     }
 
     fn check_send(&mut self, now: Instant, to: &str, work: &Work) {
-        let caller = Caller(work.payload.parse().expect("the payload names the caller"));
+        let caller = CallerId(work.payload.parse().expect("the payload names the caller"));
         let open = self.open.get(&caller).expect("work only for open calls");
         assert!(now.since(open.arrived) < Duration::from_millis(500));
         assert!(work.budget_us < 500_000, "the budget is the time left");
@@ -141,7 +141,7 @@
         }
     }
 
-    fn check_answer(&mut self, caller: Caller, answer: &Answer) {
+    fn check_answer(&mut self, caller: CallerId, answer: &Answer) {
         let open = self.open.remove(&caller).expect("one answer for each call");
         assert_eq!(answer.key, open.request.key);
         assert_ne!(answer.verdict(), Verdict::Unspecified);
@@ -177,7 +177,7 @@
 
     /// Checks that each covered shard has one part, which is from a valid reply to this call and
     /// of the answer's version.
-    fn check_parts(&self, caller: Caller, answer: &Answer) {
+    fn check_parts(&self, caller: CallerId, answer: &Answer) {
         let shards: Vec<&String> = answer.parts.iter().map(|part| &part.shard).collect();
         assert_eq!(shards, answer.covered.iter().collect::<Vec<_>>());
         for part in &answer.parts {
@@ -193,7 +193,7 @@
 
     /// Checks that the verdict "not run" is given only if every sending was proved not to have
     /// run.
-    fn check_verdicts(&self, caller: Caller, answer: &Answer) {
+    fn check_verdicts(&self, caller: CallerId, answer: &Answer) {
         let sent = || self.sent.iter().filter(move |sent| sent.caller == caller);
         if answer.verdict() == Verdict::NotRun {
             assert!(sent().all(Sent::is_proved_not_run), "{answer:?}");
--- a/crates/core/tests/gather/owners.rs
+++ b/crates/core/tests/gather/owners.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Action, Event};
 use ladder_core::schema::call::Request;
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -254,7 +254,7 @@
 #[test]
 fn disconnected_caller_gets_no_answer() {
     let (mut harness, sent) = start_request("check", &["c", "e"]);
-    let out = harness.deliver(Event::Gone(Caller(1)));
+    let out = harness.deliver(Event::CallerLeft(CallerId(1)));
     assert_eq!(cancelled_owners(&out), ["e2", "e3"]);
     let late = harness.reply("e2", covering_reply(&sent[0].1, "s2"));
     assert_eq!(late, [drop_count(Reason::StaleAnswer)]);
--- a/crates/core/tests/gather/session.rs
+++ b/crates/core/tests/gather/session.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use ladder_core::count::{self, Count};
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Action, Event, Machine, Settings, status};
 use ladder_core::schema::call::{Answer, Missing, Part, Request};
 use ladder_core::schema::outcome::{Reason, Verdict};
@@ -71,7 +71,7 @@
     /// Delivers a request from a new caller.
     pub(crate) fn call(&mut self, request: Request) -> Vec<Action> {
         self.callers += 1;
-        let caller = Caller(self.callers);
+        let caller = CallerId(self.callers);
         self.deliver(Event::Call { caller, request })
     }
 
@@ -189,12 +189,12 @@
 
 fn event_line(event: &Event) -> String {
     match event {
-        Event::Call { caller: Caller(caller), request } => {
+        Event::Call { caller: CallerId(caller), request } => {
             let Request { key, attempt, index, operation, shards, deadline_ms, .. } = request;
             let asked = format!("{index}/{operation} shards={shards:?} deadline={deadline_ms}");
             format!("call #{caller} {key} attempt={attempt} {asked}")
         }
-        Event::Gone(caller) => format!("gone #{}", caller.0),
+        Event::CallerLeft(caller) => format!("gone #{}", caller.0),
         Event::Replies { from, replies } => {
             let replies = replies.iter().map(reply_text);
             format!("from {from}: {}", replies.collect::<Vec<_>>().join("; "))
--- a/crates/core/tests/gather/sweep.rs
+++ b/crates/core/tests/gather/sweep.rs
@@ -97,7 +97,7 @@
     let again = sent_work(&harness.reply("e2", refusal_reply(&sent[0].1, "s2", Reason::NotOwner)));
     harness.reply("e3", covering_reply(&again[0].1, "s2"));
     let account = harness.machine.explain("k1").expect("the history contains the query");
-    let steps: Vec<Step> = account.steps.iter().map(|stamp| stamp.step.clone()).collect();
+    let steps: Vec<Step> = account.steps.iter().map(|timed_step| timed_step.step.clone()).collect();
     insta::assert_debug_snapshot!(steps);
     for number in 0..256 {
         harness.call(request(&format!("other{number}"), "check", &["c"]));
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bolero::{BorrowedInput, ByteSliceGenerator, TestTarget, TypeGenerator};
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::route::Table;
 use ladder_core::schema::call::{Message, Request};
@@ -267,7 +267,7 @@
             message: Some(Box::new(message)),
             ..Request::default()
         };
-        self.gather(gather::Event::Call { caller: Caller(self.sweeps), request });
+        self.gather(gather::Event::Call { caller: CallerId(self.sweeps), request });
     }
 
     fn connect(&mut self, instance: usize) {
--- a/src/entry/gateway.rs
+++ b/src/entry/gateway.rs
@@ -5,7 +5,7 @@
 
 use ladder_core::collections::Map;
 use ladder_core::gather::Event;
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_schema::call;
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_schema::publication::Bounds;
@@ -18,39 +18,39 @@
 pub struct WaitingCallers {
     /// Invariant: holds each open request once, under the caller number that its [`Event::Call`]
     /// carries.
-    callers: Map<Caller, oneshot::Sender<call::Answer>>,
+    callers: Map<CallerId, oneshot::Sender<call::Answer>>,
     last_number: u64,
 }
 
 impl WaitingCallers {
     /// Sends an answer to its caller; the answer is discarded if the caller has disconnected.
-    pub fn answer(&mut self, caller: Caller, answer: call::Answer) {
+    pub fn answer(&mut self, caller: CallerId, answer: call::Answer) {
         if let Some(sender) = self.callers.remove(&caller) {
             let _ = sender.send(answer);
         }
     }
 
     /// Registers a new caller and returns its number and the receiver of its answer.
-    fn register(&mut self) -> (Caller, oneshot::Receiver<call::Answer>) {
+    fn register(&mut self) -> (CallerId, oneshot::Receiver<call::Answer>) {
         self.last_number += 1;
-        let caller = Caller(self.last_number);
+        let caller = CallerId(self.last_number);
         let (sender, receiver) = oneshot::channel();
         self.callers.insert(caller, sender);
         (caller, receiver)
     }
 }
 
-/// Reports [`Event::Gone`] to the gathering machine if it is dropped before the answer was sent, as
-/// happens when the caller closes its connection.
+/// Reports [`Event::CallerLeft`] to the gathering machine if it is dropped before the answer was
+/// sent, as happens when the caller closes its connection.
 struct CallerGuard {
     gateway: Gateway,
-    caller: Caller,
+    caller: CallerId,
 }
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if self.gateway.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
-            self.gateway.shared.gather.tell(Event::Gone(self.caller));
+            self.gateway.shared.gather.tell(Event::CallerLeft(self.caller));
         }
     }
 }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -144,9 +144,9 @@
 /// arrival.
 fn query(explanation: &gather::Explanation) -> status::Query {
     let arrived = explanation.steps.first().map_or_else(Default::default, |first| first.at);
-    let steps = explanation.steps.iter().map(|stamp| {
-        let mut step = step(&stamp.step);
-        step.at_us = stamp.at.as_micros().saturating_sub(arrived.as_micros());
+    let steps = explanation.steps.iter().map(|timed_step| {
+        let mut step = step(&timed_step.step);
+        step.at_us = timed_step.at.as_micros().saturating_sub(arrived.as_micros());
         step
     });
     status::Query { key: explanation.key.clone(), query: explanation.query, steps: steps.collect() }
@@ -175,10 +175,10 @@
             shown.reason = (*reason).into();
             format!("{from} replied for {service}")
         }
-        Step::Lost { owner, portions } => format!("gave up {portions} portions at {owner}"),
+        Step::OwnerLost { owner, portions } => format!("gave up {portions} portions at {owner}"),
         Step::Refused { detail } => format!("refused: {detail}"),
         Step::Withdrawn { portions } => format!("withdrew {portions} portions"),
-        Step::Gone => "the caller left".to_owned(),
+        Step::CallerLeft => "the caller left".to_owned(),
         Step::Answered { verdict, reason, covered, missing } => {
             shown.verdict = (*verdict).into();
             shown.reason = (*reason).into();
--- a/src/log/lines.rs
+++ b/src/log/lines.rs
@@ -52,9 +52,9 @@
         if !self.take(account.steps.len() as u32) {
             return;
         }
-        let arrived = account.steps.first().map(|stamp| stamp.at).unwrap_or_default();
-        for stamp in &account.steps {
-            self.step(&account.key, stamp.at.since(arrived), &stamp.step);
+        let arrived = account.steps.first().map(|timed_step| timed_step.at).unwrap_or_default();
+        for timed_step in &account.steps {
+            self.step(&account.key, timed_step.at.since(arrived), &timed_step.step);
         }
     }
 
@@ -83,7 +83,7 @@
                     "service" => &**service, "verdict" => verdict.as_str_name(),
                     "reason" => reason.as_str_name());
             }
-            Step::Lost { owner, portions } => {
+            Step::OwnerLost { owner, portions } => {
                 info!(self.log, "portions lost"; "id" => id, "at_us" => at, "owner" => &**owner,
                     "portions" => portions);
             }
@@ -94,7 +94,7 @@
                 info!(self.log, "portions withdrawn"; "id" => id, "at_us" => at,
                     "portions" => portions);
             }
-            Step::Gone => info!(self.log, "caller disconnected"; "id" => id, "at_us" => at),
+            Step::CallerLeft => info!(self.log, "caller disconnected"; "id" => id, "at_us" => at),
             Step::Answered { verdict, reason, covered, missing } => {
                 info!(self.log, "answered"; "id" => id, "at_us" => at,
                     "verdict" => verdict.as_str_name(), "reason" => reason.as_str_name(),
