--- a/crates/core/src/eligible.rs
+++ b/crates/core/src/eligible.rs
@@ -14,10 +14,10 @@
 
 /// Hash of a server's name that identifies the server in messages between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark(pub u32);
+pub struct ServerHash(pub u32);
 
-impl Mark {
-    /// Computes the mark of the server with this name.
+impl ServerHash {
+    /// Computes the hash of the server with this name.
     pub fn of(name: &str) -> Self {
         Self(hash::of(&[name.as_bytes()]) as u32)
     }
@@ -32,20 +32,28 @@
     pub(crate) key: &'a str,
     /// Availability zone of the instance that first sends the part; servers of that zone are
     /// selected first.
-    pub(crate) home: &'a str,
+    pub(crate) preferred_zone: &'a str,
     /// Servers that an instance could not use or would avoid; they are selected last.
-    pub(crate) passed: &'a [Mark],
+    pub(crate) avoided: &'a [ServerHash],
 }
 
 /// Selects the servers that a part may run on.
-pub(crate) fn choose<'a>(servers: impl Iterator<Item = &'a Server>, terms: Terms<'_>) -> Vec<Mark> {
-    let mut marks: Vec<(&Server, Mark)> =
-        servers.map(|server| (server, Mark::of(&server.name))).collect();
-    if marks.len() > terms.attempts {
-        marks.sort_by_cached_key(|(server, mark)| {
+pub(crate) fn select_servers<'a>(
+    servers: impl Iterator<Item = &'a Server>,
+    terms: Terms<'_>,
+) -> Vec<ServerHash> {
+    let mut server_hashes: Vec<(&Server, ServerHash)> =
+        servers.map(|server| (server, ServerHash::of(&server.name))).collect();
+    if server_hashes.len() > terms.attempts {
+        server_hashes.sort_by_cached_key(|(server, server_hash)| {
             let hash = hash::of(&[terms.key.as_bytes(), server.name.as_bytes()]);
-            (terms.passed.contains(mark), !server.takes_work(), *server.zone != *terms.home, hash)
+            (
+                terms.avoided.contains(server_hash),
+                !server.takes_work(),
+                *server.zone != *terms.preferred_zone,
+                hash,
+            )
         });
     }
-    marks.into_iter().take(terms.attempts).map(|(_, mark)| mark).collect()
+    server_hashes.into_iter().take(terms.attempts).map(|(_, server_hash)| server_hash).collect()
 }
--- a/crates/core/src/gather/avoid.rs
+++ b/crates/core/src/gather/avoid.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::collections::Map;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::time::Instant;
 
 /// Lifetime of a peer's report. An avoided server receives no calls that could show its recovery,
@@ -21,24 +21,24 @@
     /// Reports by service, with their time of arrival.
     ///
     /// Invariant: no list of servers is empty.
-    reports: Map<Arc<str>, (Instant, Vec<Mark>)>,
+    reports: Map<Arc<str>, (Instant, Vec<ServerHash>)>,
 }
 
 impl AvoidedServers {
     /// Records the report of an instance that called the servers of `service`.
-    pub(crate) fn record_report(&mut self, now: Instant, service: &Arc<str>, marks: &[u32]) {
-        if marks.is_empty() {
+    pub(crate) fn record_report(&mut self, now: Instant, service: &Arc<str>, hashes: &[u32]) {
+        if hashes.is_empty() {
             self.reports.remove(service);
             return;
         }
-        let marks = marks.iter().copied().map(Mark).collect();
-        self.reports.insert(Arc::clone(service), (now, marks));
+        let hashes = hashes.iter().copied().map(ServerHash).collect();
+        self.reports.insert(Arc::clone(service), (now, hashes));
     }
 
     /// Returns the servers of a service to avoid according to a report that has not expired.
-    pub(crate) fn servers(&self, now: Instant, service: &str) -> &[Mark] {
+    pub(crate) fn servers(&self, now: Instant, service: &str) -> &[ServerHash] {
         match self.reports.get(service) {
-            Some((reported_at, marks)) if now.since(*reported_at) < REPORT_LIFETIME => marks,
+            Some((reported_at, hashes)) if now.since(*reported_at) < REPORT_LIFETIME => hashes,
             _ => &[],
         }
     }
--- a/crates/core/src/gather/query.rs
+++ b/crates/core/src/gather/query.rs
@@ -11,7 +11,7 @@
 use super::event::CallerId;
 use super::peers::PeerKey;
 use super::plan::{Plan, ServiceShards, Terms};
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::route::Route;
 use crate::time::{Instant, micros};
@@ -87,9 +87,9 @@
     /// Servers on which the portion of a sweep may run.
     ///
     /// Invariant: unchanged once a sending may have run.
-    pub(crate) eligible: Vec<Mark>,
+    pub(crate) eligible: Vec<ServerHash>,
     /// Servers that an instance reported as unusable for this portion.
-    pub(crate) unusable: Vec<Mark>,
+    pub(crate) unusable: Vec<ServerHash>,
     /// Whether some sending was answered without proof that it did not run.
     pub(crate) may_have_run: bool,
     /// Whether an owner replied that the portion ran, but did not return the parts.
--- a/crates/core/src/gather/send.rs
+++ b/crates/core/src/gather/send.rs
@@ -164,7 +164,7 @@
         let is_local = state.is_some_and(|state| state.is_local);
         let round_trip = state.and_then(|state| state.round_trip);
         let zone = self.zone_of(peer, is_local);
-        self.choose_servers(now, key, portions, &zone);
+        self.select_portion_servers(now, key, portions, &zone);
         let query = &mut self.queries[key];
         let collect = match &self.settings.zone {
             Some(_) if !is_local => collect::aggregation_terms(now, query, round_trip),
@@ -193,11 +193,17 @@
     }
 
     /// Selects the servers on which portions may run that are sent to an instance in the zone
-    /// `home`; applies to sweeps and to messages that are restricted to some regions.
+    /// `preferred_zone`; applies to sweeps and to messages that are restricted to some regions.
     ///
     /// A portion that may have run keeps its servers. Otherwise servers are selected again, since
     /// an instance reported that it can use none of the previous ones.
-    fn choose_servers(&mut self, now: Instant, key: QueryKey, portions: &[usize], home: &str) {
+    fn select_portion_servers(
+        &mut self,
+        now: Instant,
+        key: QueryKey,
+        portions: &[usize],
+        preferred_zone: &str,
+    ) {
         let query = &mut self.queries[key];
         let Some(route) = query.route.as_ref().filter(|route| restricts_servers(route)) else {
             return;
@@ -211,13 +217,13 @@
                 continue;
             };
             let avoid = self.avoided_servers.servers(now, &service.name);
-            let avoided = [&*portion.unusable, avoid].concat();
-            let (key, passed) = (&*query.request.key, &*avoided);
-            let terms = eligible::Terms { attempts, key, home, passed };
+            let all_avoided = [&*portion.unusable, avoid].concat();
+            let (key, avoided) = (&*query.request.key, &*all_avoided);
+            let terms = eligible::Terms { attempts, key, preferred_zone, avoided };
             let homes = &route.spec.homes;
-            let home = service.servers.iter();
-            let home = home.filter(|server| self.view.is_home(homes, &server.zone));
-            portion.eligible = eligible::choose(home, terms);
+            let home_servers = service.servers.iter();
+            let home_servers = home_servers.filter(|server| self.view.is_home(homes, &server.zone));
+            portion.eligible = eligible::select_servers(home_servers, terms);
         }
     }
 
@@ -319,7 +325,7 @@
         shards: portion.requested.shards.iter().map(name).collect(),
         repeated: query.earlier_version_may_have_run || portion.is_repeated(query.rounds),
         eligible: chosen.then(|| wire::Eligible {
-            servers: portion.eligible.iter().map(|mark| mark.0).collect(),
+            servers: portion.eligible.iter().map(|server_hash| server_hash.0).collect(),
         }),
     }
 }
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -20,7 +20,7 @@
 use super::server::{Server, ServerKey};
 use super::service::ServiceId;
 use super::timer::Timer;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::time::Instant;
 
 /// Number of queued portions considered for dispatch when no server can take the first ones.
@@ -266,8 +266,12 @@
     }
 
     /// Whether the list of eligible servers contains a server; `None` allows every server.
-    pub(super) fn is_eligible(&self, eligible: Option<&[Mark]>, candidate: ServerKey) -> bool {
-        eligible.is_none_or(|marks| marks.contains(&self.servers[candidate].mark))
+    pub(super) fn is_eligible(
+        &self,
+        eligible: Option<&[ServerHash]>,
+        candidate: ServerKey,
+    ) -> bool {
+        eligible.is_none_or(|hashes| hashes.contains(&self.servers[candidate].name_hash))
     }
 
     /// Whether a server serves the index version that the work requires.
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -19,7 +19,7 @@
 use super::timer::Timer;
 use crate::control::hash;
 use crate::count;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 use crate::view::Peer;
@@ -69,7 +69,7 @@
             self.settle_portion(job, out);
             return;
         }
-        let eligible = eligible_marks(&portion);
+        let eligible = eligible_server_hashes(&portion);
         match self.admit(job, &portion, eligible.as_deref()) {
             Ok((service, deadline)) => self.enqueue(job, portion, eligible, service, deadline),
             Err(refused) => self.refuse(job, portion.service, refused, out),
@@ -82,7 +82,7 @@
         &mut self,
         job: &Job,
         portion: &wire::Portion,
-        eligible: Option<&[Mark]>,
+        eligible: Option<&[ServerHash]>,
     ) -> Result<(ServiceId, Instant), Refused> {
         let id = self.service_ids.get(portion.service.as_str()).copied();
         let finding = id.and_then(|id| self.find_record(job, id));
@@ -234,7 +234,7 @@
         &mut self,
         job: &Arc<Job>,
         portion: wire::Portion,
-        eligible: Option<Arc<[Mark]>>,
+        eligible: Option<Arc<[ServerHash]>>,
         id: ServiceId,
         deadline: Instant,
     ) {
@@ -349,10 +349,11 @@
     }
 }
 
-/// Marks of the servers on which a portion may run; `None` if any server of the service may run it.
-fn eligible_marks(portion: &wire::Portion) -> Option<Arc<[Mark]>> {
+/// Hashes of the names of the servers on which a portion may run; `None` if any server of the
+/// service may run it.
+fn eligible_server_hashes(portion: &wire::Portion) -> Option<Arc<[ServerHash]>> {
     let eligible = portion.eligible.as_ref()?;
-    Some(eligible.servers.iter().copied().map(Mark).collect())
+    Some(eligible.servers.iter().copied().map(ServerHash).collect())
 }
 
 /// Kind of work for which call times are learned: the route of a forwarded message, else the
--- a/crates/core/src/leaf/outlook.rs
+++ b/crates/core/src/leaf/outlook.rs
@@ -10,12 +10,12 @@
 use super::reply::Refused;
 use super::server::{Server, ServerKey};
 use super::service::ServiceId;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::time::Instant;
 
 impl Machine {
-    /// Marks of the servers of a service that fail, shed load or respond slowly; empty if all of
-    /// its servers do.
+    /// Name hashes of the servers of a service that fail, shed load or respond slowly; empty if all
+    /// of its servers do.
     pub(super) fn avoided(&self, id: ServiceId) -> Vec<u32> {
         let servers = self.services[id].servers.iter().map(|key| &self.servers[*key]);
         let accepting = servers.filter(|server| server.accepts_work());
@@ -23,7 +23,7 @@
         if accepting.clone().all(|server| is_poor(&server)) {
             return Vec::new();
         }
-        accepting.filter(is_poor).map(|server| server.mark.0).collect()
+        accepting.filter(is_poor).map(|server| server.name_hash.0).collect()
     }
 
     /// Total number of slots of the servers that accept new work, within the in-flight limit of the
@@ -45,7 +45,7 @@
         &self,
         id: ServiceId,
         work: &wire::Work,
-        eligible: Option<&[Mark]>,
+        eligible: Option<&[ServerHash]>,
         deadline: Instant,
     ) -> Result<(), Refused> {
         let servers = self.services[id].servers.iter().copied();
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -16,7 +16,7 @@
 use super::service::ServiceId;
 use super::siblings::SiblingsKey;
 use super::trace::Trial;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 use crate::view::Peer;
@@ -68,7 +68,7 @@
     /// Whether a server may have received the portion already through another instance.
     pub(super) repeated: bool,
     /// Servers that the portion may run on; `None`: any server of the service.
-    pub(super) eligible: Option<Arc<[Mark]>>,
+    pub(super) eligible: Option<Arc<[ServerHash]>>,
     /// Shards requested from the service.
     pub(super) shards: Arc<[String]>,
     /// Time at which the portion arrived.
--- a/crates/core/src/leaf/server.rs
+++ b/crates/core/src/leaf/server.rs
@@ -14,7 +14,7 @@
 use super::health::Health;
 use super::service::ServiceId;
 use super::warmup::Warmup;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::time::Instant;
 use crate::view;
 
@@ -37,7 +37,7 @@
     pub(super) address: Arc<str>,
     pub(super) zone: Arc<str>,
     /// Hash of the server's name that identifies the server in messages between instances.
-    pub(super) mark: Mark,
+    pub(super) name_hash: ServerHash,
     /// Whether the current view contains the server with this address. New work goes to listed
     /// servers only.
     pub(super) listed: bool,
@@ -92,7 +92,7 @@
             name: Arc::clone(&listed.name),
             address: Arc::clone(&listed.address),
             zone: Arc::clone(&listed.zone),
-            mark: Mark::of(&listed.name),
+            name_hash: ServerHash::of(&listed.name),
             listed: true,
             evacuated: false,
             warmup: Warmup::default(),
--- a/crates/core/tests/gather/homes.rs
+++ b/crates/core/tests/gather/homes.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::gather::Action;
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::wire::Work;
@@ -47,7 +47,7 @@
                 let servers = self.zones.iter().enumerate();
                 for (number, _) in servers.filter(|(_, zone)| !self.reachable_zones.contains(zone))
                 {
-                    let outside = Mark::of(&format!("{}-{number}", portion.service)).0;
+                    let outside = ServerHash::of(&format!("{}-{number}", portion.service)).0;
                     assert!(!eligible.servers.contains(&outside), "{}: {eligible:?}", self.name);
                 }
             }
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/near.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use ladder_core::collections::Map;
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::gather::{Action, Event, Settings};
 use ladder_core::route::Table;
 use ladder_core::schema::call::{Message, Request, Response};
@@ -618,10 +618,14 @@
             let before = first.1.portions.iter().find(|one| one.service == portion.service);
             let servers = |portion: &Portion| portion.eligible.clone().unwrap_or_default().servers;
             let (before, now) = (servers(before.expect("the same part")), servers(portion));
-            let all =
-                (1..=3).map(|number| Mark::of(&format!("{}-{}", portion.service, number - 1)).0);
-            let left_out = all.into_iter().find(|mark| !before.contains(mark));
-            assert_eq!(left_out.is_some_and(|mark| now.contains(&mark)), expects_third, "{name}");
+            let all = (1..=3)
+                .map(|number| ServerHash::of(&format!("{}-{}", portion.service, number - 1)).0);
+            let left_out = all.into_iter().find(|server_hash| !before.contains(server_hash));
+            assert_eq!(
+                left_out.is_some_and(|server_hash| now.contains(&server_hash)),
+                expects_third,
+                "{name}"
+            );
             assert!(expects_third || now == before, "{name}");
             assert_eq!(now.len(), 2, "{name}");
         }
@@ -766,7 +770,7 @@
             for portion in &remote.portions {
                 let eligible = portion.eligible.as_ref().expect("a choice of servers");
                 let usable = if evacuated == "campanha" { 2 } else { 1 };
-                let first = Mark::of(&format!("{}-{}", portion.service, usable - 1)).0;
+                let first = ServerHash::of(&format!("{}-{}", portion.service, usable - 1)).0;
                 assert!(eligible.servers.contains(&first), "{evacuated}: {eligible:?}");
             }
         }
@@ -788,11 +792,14 @@
         let portion = work.portions.iter().find(|portion| portion.service == service);
         portion.and_then(|portion| portion.eligible.clone()).expect("a choice").servers
     };
-    let avoid: Vec<u32> = ["s1-0", "s1-1"].map(|name| Mark::of(name).0).to_vec();
+    let avoid: Vec<u32> = ["s1-0", "s1-1"].map(|name| ServerHash::of(name).0).to_vec();
     let [(_, first)] = &sent_work(&harness.call(sweep("first")))[..] else {
         panic!("all servers are called from here");
     };
-    assert!(chosen(first, "s1").contains(&Mark::of("s1-1").0), "near and not reported as failing");
+    assert!(
+        chosen(first, "s1").contains(&ServerHash::of("s1-1").0),
+        "near and not reported as failing"
+    );
     let replies = first.portions.iter().map(|portion| {
         let avoid = if portion.service == "s1" { avoid.clone() } else { Vec::new() };
         Reply { avoid, ..reply(first, &portion.service, &[1]) }
@@ -802,14 +809,14 @@
     let [(_, second)] = &sent_work(&harness.call(sweep("second")))[..] else {
         panic!("all servers are called from here");
     };
-    assert_eq!(chosen(second, "s1")[0], Mark::of("s1-2").0);
+    assert_eq!(chosen(second, "s1")[0], ServerHash::of("s1-2").0);
     assert!(
-        chosen(second, "s2").contains(&Mark::of("s2-1").0),
+        chosen(second, "s2").contains(&ServerHash::of("s2-1").0),
         "the report concerns one service only"
     );
     harness.advance(2500);
     let [(_, third)] = &sent_work(&harness.call(sweep("third")))[..] else {
         panic!("all servers are called from here");
     };
-    assert!(chosen(third, "s1").contains(&Mark::of("s1-1").0), "the report has expired");
+    assert!(chosen(third, "s1").contains(&ServerHash::of("s1-1").0), "the report has expired");
 }
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::leaf::event::Outcome;
 use ladder_core::leaf::{Action, Event, Settings};
 use ladder_core::schema::call::{Message, Part, Response};
@@ -157,8 +157,8 @@
         let mut harness =
             Harness::connected(settings(), limited(limits(100, false), servers.collect()));
         let mut work = forwarded(1, "sweep");
-        let mark = |number: &u8| Mark::of(&server(*number).name).0;
-        let servers = named.iter().map(mark).collect();
+        let server_hash = |number: &u8| ServerHash::of(&server(*number).name).0;
+        let servers = named.iter().map(server_hash).collect();
         work.portions[0].eligible = Some(wire::Eligible { servers });
         harness.deliver_work(work);
         let mut seen = BTreeSet::new();
@@ -315,15 +315,15 @@
 fn replies_name_servers_that_fail_while_others_do_not() {
     for (failing, named) in [(vec![1], vec![1]), (vec![], vec![]), (vec![1, 2], vec![])] {
         let mut harness = harness(settings_without_cancellation(), limits(100, false));
-        let marks = |numbers: &[u8]| -> Vec<u32> {
-            numbers.iter().map(|number| Mark::of(&format!("docks-{number}")).0).collect()
+        let server_hashes = |numbers: &[u8]| -> Vec<u32> {
+            numbers.iter().map(|number| ServerHash::of(&format!("docks-{number}")).0).collect()
         };
         let mut avoided = Vec::new();
         for query in 0..40 {
             harness.log.clear();
             let mut work = forwarded(query, "sweep");
             let alone = query < 6 && !failing.is_empty();
-            let eligible = if alone { marks(&failing) } else { marks(&[1, 2]) };
+            let eligible = if alone { server_hashes(&failing) } else { server_hashes(&[1, 2]) };
             work.portions[0].eligible = Some(wire::Eligible { servers: eligible });
             harness.deliver_work(work);
             let fails = |sent: &SentCall| {
@@ -341,9 +341,11 @@
                 _ => None,
             }));
         }
-        let named = marks(&named);
+        let named = server_hashes(&named);
         assert!(
-            avoided.iter().all(|marks| marks.is_empty() || *marks == named || failing.len() == 2)
+            avoided
+                .iter()
+                .all(|hashes| hashes.is_empty() || *hashes == named || failing.len() == 2)
         );
         assert!(named.is_empty() || avoided.contains(&named), "{failing:?}: {avoided:?}");
     }
