--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -41,4 +41,4 @@
 pub use machine::Machine;
 pub use service::Rank;
 pub use settings::{Builder, Settings};
-pub use trace::{Cause, End, Trace, Trial};
+pub use trace::{CallEnd, CallTrace, Cause, Trace};
--- a/crates/core/src/leaf/dispatch.rs
+++ b/crates/core/src/leaf/dispatch.rs
@@ -391,9 +391,9 @@
         self.call_began(&call);
         self.record_warmup_request(to);
         let attempt = self.attempts.insert(call);
-        let trial = self.trial(key, to, attempt);
+        let call_trace = self.call_trace(key, to, attempt);
         let portion = &mut self.portions[key];
-        portion.trials.push(trial);
+        portion.call_traces.push(call_trace);
         portion.attempts.push(attempt);
         portion.tried_servers.push(to);
         portion.calls += 1;
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -14,7 +14,7 @@
 use super::record;
 use super::reply::Refused;
 use super::server::ServerKey;
-use super::trace::End;
+use super::trace::CallEnd;
 use super::verdict;
 use crate::count;
 
@@ -235,8 +235,10 @@
         let reason = verdict::reason(&outcome, timed_out);
         let portion = &mut self.portions[key];
         let took = self.now.since(attempt.sent);
-        if let Some(trial) = portion.trials.iter_mut().find(|trial| trial.attempt == ended) {
-            trial.end = Some(End { took, verdict, reason });
+        if let Some(call_trace) =
+            portion.call_traces.iter_mut().find(|call_trace| call_trace.attempt == ended)
+        {
+            call_trace.end = Some(CallEnd { took, verdict, reason });
         }
         portion.attempts.retain(|other| *other != ended);
         let service = &mut self.services[attempt.service];
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -255,7 +255,7 @@
             timely_at: latency_objective(self.now, &job.work),
             attempts: Vec::new(),
             tried_servers: Vec::new(),
-            trials: Vec::new(),
+            call_traces: Vec::new(),
             calls: 0,
             failures: 0,
             proved_not_run: 0,
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -15,7 +15,7 @@
 use super::server::ServerKey;
 use super::service::ServiceId;
 use super::siblings::SiblingsKey;
-use super::trace::Trial;
+use super::trace::CallTrace;
 use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
@@ -94,7 +94,7 @@
     /// Servers that the portion was sent to, so that a retry selects another one.
     pub(super) tried_servers: Vec<ServerKey>,
     /// Calls of the portion with the inputs of each decision, oldest first.
-    pub(super) trials: Vec<Trial>,
+    pub(super) call_traces: Vec<CallTrace>,
     /// Number of calls made to targets for the portion.
     pub(super) calls: u32,
     /// Number of the portion's calls that ended without an answer.
--- a/crates/core/src/leaf/trace.rs
+++ b/crates/core/src/leaf/trace.rs
@@ -25,7 +25,7 @@
 
 /// Result of a finished call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct CallEnd {
     /// Time from the sending of the call to its end.
     pub took: Duration,
     /// Whether the work may have run at a target.
@@ -36,7 +36,7 @@
 
 /// One call with the inputs of the decision to make it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trial {
+pub struct CallTrace {
     pub(super) attempt: AttemptKey,
     /// Name of the server that the call was sent to.
     pub server: Arc<str>,
@@ -57,7 +57,7 @@
     /// Time left until the portion's deadline.
     pub left: Duration,
     /// Result of the call; `None` while the call is open.
-    pub end: Option<End>,
+    pub end: Option<CallEnd>,
 }
 
 /// Trace of the decisions made for one portion.
@@ -78,12 +78,17 @@
     /// Time from the portion's arrival to its reply.
     pub took: Duration,
     /// Calls of the portion, oldest first.
-    pub trials: Vec<Trial>,
+    pub calls: Vec<CallTrace>,
 }
 
 impl Machine {
     /// Captures the current inputs of the decision to send a call of a portion to a server.
-    pub(super) fn trial(&self, key: PortionKey, to: ServerKey, attempt: AttemptKey) -> Trial {
+    pub(super) fn call_trace(
+        &self,
+        key: PortionKey,
+        to: ServerKey,
+        attempt: AttemptKey,
+    ) -> CallTrace {
         let portion = &self.portions[key];
         let server = &self.servers[to];
         let cause = match (portion.calls, portion.attempts.is_empty()) {
@@ -91,7 +96,7 @@
             (_, true) => Cause::Retry,
             (_, false) => Cause::Copy,
         };
-        Trial {
+        CallTrace {
             attempt,
             server: Arc::clone(&server.name),
             cause,
@@ -126,7 +131,7 @@
             reason: refused.reason,
             retry_after: refused.retry_after,
             took: self.now.since(portion.arrived),
-            trials: portion.trials.clone(),
+            calls: portion.call_traces.clone(),
         })));
     }
 }
--- a/crates/core/tests/leaf/session.rs
+++ b/crates/core/tests/leaf/session.rs
@@ -62,9 +62,9 @@
                 format!("reply to {}: {summary}, {details}", to.name)
             }
             Action::Log(trace) => {
-                let results = trace.trials.iter().map(|trial| match trial.end {
-                    Some(end) => format!("{:?} at {} {:?}", trial.cause, trial.server, end.verdict),
-                    None => format!("{:?} at {} open", trial.cause, trial.server),
+                let results = trace.calls.iter().map(|call| match call.end {
+                    Some(end) => format!("{:?} at {} {:?}", call.cause, call.server, end.verdict),
+                    None => format!("{:?} at {} open", call.cause, call.server),
                 });
                 let calls = results.collect::<Vec<_>>().join(", ");
                 format!("log {} {:?} {:?}: {calls}", trace.id, trace.verdict, trace.reason)
--- a/src/log/lines.rs
+++ b/src/log/lines.rs
@@ -5,7 +5,7 @@
 
 use ladder_core::fingerprint::Fingerprint;
 use ladder_core::gather::{Explanation, Step};
-use ladder_core::leaf::{Trace, Trial};
+use ladder_core::leaf::{CallTrace, Trace};
 use ladder_core::time::Instant;
 use slog::{Logger, info, warn};
 
@@ -105,16 +105,16 @@
 
     /// Logs the handling of a portion: one line for each call and one for the end of the portion.
     pub fn trace(&self, trace: &Trace) {
-        if !self.take(trace.trials.len() as u32 + 1) {
+        if !self.take(trace.calls.len() as u32 + 1) {
             return;
         }
-        for trial in &trace.trials {
-            self.trial(trace, trial);
+        for call in &trace.calls {
+            self.call(trace, call);
         }
         info!(self.log, "portion finished"; "id" => &*trace.id, "service" => &*trace.service,
             "version" => trace.version, "took_us" => micros(trace.took),
             "verdict" => trace.verdict.as_str_name(), "reason" => trace.reason.as_str_name(),
-            "retry_after_us" => micros(trace.retry_after), "calls" => trace.trials.len());
+            "retry_after_us" => micros(trace.retry_after), "calls" => trace.calls.len());
     }
 
     /// Logs that a server process crashed while requests were in progress there.
@@ -126,15 +126,15 @@
         }
     }
 
-    fn trial(&self, trace: &Trace, trial: &Trial) {
-        let end = trial.end;
+    fn call(&self, trace: &Trace, call: &CallTrace) {
+        let end = call.end;
         info!(self.log, "call"; "id" => &*trace.id, "service" => &*trace.service,
-            "server" => &*trial.server, "cause" => ?trial.cause,
-            "after_us" => micros(trial.after), "in_flight" => trial.in_flight,
-            "failure_rate" => format!("{:.2}", trial.failure_rate),
-            "shed_rate" => format!("{:.2}", trial.shed_rate),
-            "seen_us_ago" => micros(trial.age), "budget" => trial.budget,
-            "left_us" => micros(trial.left),
+            "server" => &*call.server, "cause" => ?call.cause,
+            "after_us" => micros(call.after), "in_flight" => call.in_flight,
+            "failure_rate" => format!("{:.2}", call.failure_rate),
+            "shed_rate" => format!("{:.2}", call.shed_rate),
+            "seen_us_ago" => micros(call.age), "budget" => call.budget,
+            "left_us" => micros(call.left),
             "took_us" => end.map(|end| micros(end.took)),
             "verdict" => end.map(|end| end.verdict.as_str_name()),
             "reason" => end.map(|end| end.reason.as_str_name()));
