--- a/src/driver.rs
+++ b/src/driver.rs
@@ -62,7 +62,7 @@
 
 impl<M: Machine> Handle<M> {
     /// Sends an event to the machine; the event is discarded if the driver has ended.
-    pub fn tell(&self, event: M::Event) {
+    pub fn send(&self, event: M::Event) {
         let _ = self.inputs.send(Input::Event(event));
     }
 
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -123,7 +123,7 @@
             _ => "failed",
         };
         self.metrics.platform_read(outcome);
-        self.control.tell(result);
+        self.control.send(result);
     }
 }
 
@@ -208,11 +208,11 @@
 pub fn run(options: &Options, dialect: Arc<dyn Dialect>) -> Result<(), Error> {
     let settings = &options.instance;
     let callers = listen(&settings.caller_address)?;
-    let ready = match settings.ready_address.as_str() {
+    let readiness = match settings.ready_address.as_str() {
         "" => None,
         address => Some(listen(address)?),
     };
-    let listeners = Listeners { callers, ready };
+    let listeners = Listeners { callers, readiness };
     let operators = listen(&settings.admin_address)?;
     let socket = Inbound::listen(&settings.peer_address)
         .map_err(|error| Error::Peer { address: settings.peer_address.clone(), error })?;
--- a/src/entry/admin.rs
+++ b/src/entry/admin.rs
@@ -50,7 +50,7 @@
 
     /// Returns the recorded steps of the requests with one key.
     async fn explain(&self, request: &Request) -> Response<BoxBody> {
-        match http::parameter(request, "key") {
+        match http::query_parameter(request, "key") {
             Some(key) => {
                 let explanation = status::explanation(&self.shared, key.to_owned()).await;
                 http::json(StatusCode::OK, &explanation)
@@ -62,10 +62,10 @@
     /// Releases a request from quarantine: it is executed again although server processes crashed
     /// during it.
     fn release(&self, request: &Request) -> Response<BoxBody> {
-        let fingerprint = http::parameter(request, "request").unwrap_or_default();
+        let fingerprint = http::query_parameter(request, "request").unwrap_or_default();
         match fingerprint.parse() {
             Ok(fingerprint) => {
-                self.shared.control.tell(Event::Released(fingerprint));
+                self.shared.control.send(Event::Released(fingerprint));
                 http::text(StatusCode::ACCEPTED, "released\n")
             }
             Err(error) => http::text(StatusCode::BAD_REQUEST, format!("request: {error}\n")),
@@ -77,7 +77,7 @@
         if !self.shared.options.instance.fault_injection {
             return http::text(StatusCode::FORBIDDEN, "faultInjection is off in the settings\n");
         }
-        let body = match http::body(request, bounds::REQUEST_BYTES).await {
+        let body = match http::read_body(request, bounds::REQUEST_BYTES).await {
             Ok(body) => body,
             Err(error) => return http::text(StatusCode::BAD_REQUEST, error.to_string()),
         };
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -54,8 +54,8 @@
         if let Some(routing) = &view.routing {
             self.shared.caller_bounds.set(routing.bounds);
         }
-        self.shared.gather.tell(gather::Event::View(Arc::clone(&view)));
-        self.shared.leaf.tell(leaf::Event::View(view));
+        self.shared.gather.send(gather::Event::View(Arc::clone(&view)));
+        self.shared.leaf.send(leaf::Event::View(view));
     }
 }
 
--- a/src/entry/dialect.rs
+++ b/src/entry/dialect.rs
@@ -42,30 +42,30 @@
     /// Listener for callers.
     pub callers: TcpListener,
     /// Listener for the load balancer's readiness checks, if they have their own address.
-    pub ready: Option<TcpListener>,
+    pub readiness: Option<TcpListener>,
 }
 
 /// Timeouts of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spans {
+pub struct Timeouts {
     /// Longest time to open a connection.
-    pub opening: Duration,
+    pub connect: Duration,
     /// How long a new connection is observed before it carries a call.
     ///
     /// A server that is over its connection limit accepts one more connection and then resets it. A
     /// call on that connection would be lost without any information on whether it was executed.
-    pub proving: Duration,
+    pub probation: Duration,
     /// An idle connection is closed this long before the server would close it. Otherwise a call
     /// could be sent while the server closes the connection, and would be lost.
-    pub spare: Duration,
+    pub idle_margin: Duration,
 }
 
-impl Default for Spans {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
-            opening: Duration::from_millis(1000),
-            proving: Duration::from_millis(8),
-            spare: Duration::from_millis(1000),
+            connect: Duration::from_millis(1000),
+            probation: Duration::from_millis(8),
+            idle_margin: Duration::from_millis(1000),
         }
     }
 }
@@ -74,7 +74,7 @@
 #[derive(Clone)]
 pub struct Reports {
     /// Timeouts of the connections.
-    pub spans: Spans,
+    pub timeouts: Timeouts,
     /// Handle of the leaf machine.
     pub leaf: Handle<leaf::Machine>,
     /// Handle of the control machine.
--- a/src/entry/gateway.rs
+++ b/src/entry/gateway.rs
@@ -50,7 +50,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if self.gateway.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
-            self.gateway.shared.gather.tell(Event::CallerLeft(self.caller));
+            self.gateway.shared.gather.send(Event::CallerLeft(self.caller));
         }
     }
 }
@@ -92,7 +92,7 @@
         let arrived_at = self.shared.clock.now();
         let (caller, receiver) = self.waiting.borrow_mut().register();
         let guard = CallerGuard { gateway: self.clone(), caller };
-        self.shared.gather.tell(Event::Call { caller, request });
+        self.shared.gather.send(Event::Call { caller, request });
         let answer = match receiver.await {
             Ok(answer) => answer,
             Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "the instance ended"),
--- a/src/entry/gather.rs
+++ b/src/entry/gather.rs
@@ -50,7 +50,7 @@
     /// Passes work to the local leaf machine, or adds it to the frame for its peer.
     fn send(&mut self, to: &Arc<str>, work: Work) {
         if *to == self.shared.local_peer.address {
-            self.shared.leaf.tell(leaf::Event::Work {
+            self.shared.leaf.send(leaf::Event::Work {
                 from: self.shared.local_peer.clone(),
                 incarnation: self.shared.incarnation,
                 work,
@@ -64,7 +64,7 @@
     fn cancel(&mut self, to: &Arc<str>, cancel: Cancel) {
         if *to == self.shared.local_peer.address {
             let from = Arc::clone(&self.shared.local_peer.name);
-            self.shared.leaf.tell(leaf::Event::Cancel { from, cancel });
+            self.shared.leaf.send(leaf::Event::Cancel { from, cancel });
         } else {
             self.frames.entry(Arc::clone(to)).or_default().cancels.push(cancel);
         }
@@ -81,7 +81,7 @@
                 Action::Send { to, work } => self.send(&to.address, work),
                 Action::Cancel { to, cancel } => self.cancel(&to.address, cancel),
                 Action::Refused(request) => {
-                    self.shared.control.tell(control::Event::Asked(request));
+                    self.shared.control.send(control::Event::Asked(request));
                 }
                 Action::Log(account) => self.shared.request_log.request(&account),
                 Action::Count(count) => self.shared.metrics.count(count),
--- a/src/entry/leaf.rs
+++ b/src/entry/leaf.rs
@@ -13,7 +13,7 @@
 use ladder_schema::wire::{Frame, Reply};
 
 use super::Shared;
-use super::dialect::{Reports, Servers, Spans};
+use super::dialect::{Reports, Servers, Timeouts};
 use crate::driver::{self, ActionExecutor, Driver, Inbox};
 use crate::log;
 
@@ -65,7 +65,7 @@
         if !self.local_replies.is_empty() {
             let from = Arc::clone(&self.shared.local_peer.name);
             let replies = std::mem::take(&mut self.local_replies);
-            self.shared.gather.tell(gather::Event::Replies { from, replies });
+            self.shared.gather.send(gather::Event::Replies { from, replies });
         }
         for (address, frame) in self.frames.drain() {
             self.shared.outbound.send(&address, frame);
@@ -97,14 +97,14 @@
                 Action::Crashed { server, incarnation, at, requests } => {
                     self.shared.request_log.crashed(&server, incarnation, &requests);
                     let incarnation = Incarnation { server, number: incarnation };
-                    self.shared.control.tell(control::Event::Crashed { incarnation, at, requests });
+                    self.shared.control.send(control::Event::Crashed { incarnation, at, requests });
                 }
                 Action::Refuted { server, incarnation } => {
                     let incarnation = Incarnation { server, number: incarnation };
-                    self.shared.control.tell(control::Event::Refuted(incarnation));
+                    self.shared.control.send(control::Event::Refuted(incarnation));
                 }
                 Action::Cleared(request) => {
-                    self.shared.control.tell(control::Event::Cleared(request));
+                    self.shared.control.send(control::Event::Cleared(request));
                 }
                 Action::Count(count) => self.shared.metrics.count(count),
             }
@@ -132,7 +132,7 @@
         .seed(shared.seed())
         .build();
     let reports = Reports {
-        spans: Spans::default(),
+        timeouts: Timeouts::default(),
         leaf: shared.leaf.clone(),
         control: shared.control.clone(),
         clock: shared.clock,
--- a/src/entry/native/callers.rs
+++ b/src/entry/native/callers.rs
@@ -17,7 +17,7 @@
 /// define one.
 pub(super) async fn serve(gateway: Gateway, listeners: Listeners) {
     let api = CallerApi { gateway };
-    if let Some(ready) = listeners.ready.and_then(|ready| TcpListener::from_std(ready).ok()) {
+    if let Some(ready) = listeners.readiness.and_then(|ready| TcpListener::from_std(ready).ok()) {
         let api = api.clone();
         actix_rt::spawn(http::serve(ready, move |request| api.clone().handle(request)));
     }
@@ -37,7 +37,7 @@
     async fn handle(self, mut request: Request) -> Response<BoxBody> {
         match (request.method(), request.path()) {
             (&Method::POST, "/query") => {
-                let body = http::body(&mut request, bounds::REQUEST_BYTES).await;
+                let body = http::read_body(&mut request, bounds::REQUEST_BYTES).await;
                 self.query(body).await
             }
             (&Method::GET, "/ready") if self.gateway.is_ready() => {
@@ -89,6 +89,6 @@
         Ok(bytes) => serde_json::from_slice(&bytes)
             .map_err(|error| refuse(Reason::Malformed, error.to_string())),
         Err(error @ BodyError::TooLarge(_)) => Err(refuse(Reason::TooLarge, error.to_string())),
-        Err(error @ BodyError::Broken(_)) => Err(refuse(Reason::Malformed, error.to_string())),
+        Err(error @ BodyError::Unreadable(_)) => Err(refuse(Reason::Malformed, error.to_string())),
     }
 }
--- a/src/entry/native/connections.rs
+++ b/src/entry/native/connections.rs
@@ -58,10 +58,10 @@
     /// reports it as closed.
     fn report_end(&self, key: ConnectionKey, complete: bool) {
         if complete {
-            self.reports.leaf.tell(Event::Opened(key));
+            self.reports.leaf.send(Event::Opened(key));
         } else {
             self.close(key);
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
         }
     }
 }
@@ -78,7 +78,7 @@
                 Ok(report) => connections.report_end(key, report.is_some()),
                 Err(error) if is_refused(&error) => {
                     connections.close(key);
-                    connections.reports.leaf.tell(Event::Refused(key));
+                    connections.reports.leaf.send(Event::Refused(key));
                 }
                 Err(_) => connections.report_end(key, false),
             }
@@ -100,7 +100,7 @@
         until: Instant,
     ) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Ended { attempt, outcome: Outcome::Unsent });
+            self.reports.leaf.send(Event::Ended { attempt, outcome: Outcome::Unsent });
             return;
         };
         let connections = self.clone();
@@ -112,14 +112,14 @@
             if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
                 connections.close(key);
             }
-            connections.reports.leaf.tell(Event::Ended { attempt, outcome });
+            connections.reports.leaf.send(Event::Ended { attempt, outcome });
         });
     }
 
     /// Asks the server to cancel the request `id`.
     fn cancel(&self, key: ConnectionKey, id: &str) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
             return;
         };
         let connections = self.clone();
@@ -136,20 +136,20 @@
     /// Asks the server for a load report.
     fn probe(&self, key: ConnectionKey, server: Arc<str>) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
             return;
         };
         let connections = self.clone();
         actix_rt::spawn(async move {
             let load = load(&connection).await;
             if let Some(report) = load.as_ref().filter(|report| report.leaving) {
-                connections.reports.control.tell(control::Event::ServerLeaving {
+                connections.reports.control.send(control::Event::ServerLeaving {
                     server: Arc::clone(&server),
                     incarnation: report.incarnation,
                 });
             }
             connections.report_end(key, load.is_some());
-            connections.reports.leaf.tell(Event::Load { server, load });
+            connections.reports.leaf.send(Event::Load { server, load });
         });
     }
 }
--- a/src/entry/peer.rs
+++ b/src/entry/peer.rs
@@ -41,8 +41,8 @@
 ) -> OnDisconnect {
     Arc::new(move |address| {
         if let Some(name) = names.get(address) {
-            control.tell(control::Event::LinkDown(Arc::clone(&name)));
-            gather.tell(gather::Event::LinkDown(name));
+            control.send(control::Event::LinkDown(Arc::clone(&name)));
+            gather.send(gather::Event::LinkDown(name));
         }
     })
 }
@@ -70,19 +70,19 @@
     let incarnation = frame.incarnation;
     for work in frame.work.drain(..) {
         let from = from.clone();
-        shared.leaf.tell(leaf::Event::Work { from, incarnation, work });
+        shared.leaf.send(leaf::Event::Work { from, incarnation, work });
     }
     for cancel in frame.cancels.drain(..) {
-        shared.leaf.tell(leaf::Event::Cancel { from: Arc::clone(&from.name), cancel });
+        shared.leaf.send(leaf::Event::Cancel { from: Arc::clone(&from.name), cancel });
     }
     // Pending notices go before the replies: once the gathering machine has processed the replies,
     // it would count the portions that they lack as lost.
     for pending in frame.pending.drain(..) {
-        shared.gather.tell(gather::Event::Pending { from: Arc::clone(&from.name), pending });
+        shared.gather.send(gather::Event::Pending { from: Arc::clone(&from.name), pending });
     }
     if !frame.replies.is_empty() {
         let replies = std::mem::take(&mut frame.replies);
-        shared.gather.tell(gather::Event::Replies { from: Arc::clone(&from.name), replies });
+        shared.gather.send(gather::Event::Replies { from: Arc::clone(&from.name), replies });
     }
-    shared.control.tell(control::Event::Frame(Box::new(frame)));
+    shared.control.send(control::Event::Frame(Box::new(frame)));
 }
--- a/src/entry/reload.rs
+++ b/src/entry/reload.rs
@@ -69,7 +69,7 @@
     info!(shared.log, "reload: settings read"; "cause" => cause, "seeds_changed" => seeds_changed,
         "needs_restart" => with_old_seeds != *settings);
     if seeds_changed {
-        shared.control.tell(Event::Seeds(seeds.iter().map(|seed| seed.as_str().into()).collect()));
+        shared.control.send(Event::Seeds(seeds.iter().map(|seed| seed.as_str().into()).collect()));
         settings.seeds = seeds;
     }
 }
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -59,10 +59,10 @@
 async fn drain(shared: &Shared) {
     info!(shared.log, "graceful shutdown begins");
     let deadline = Instant::now() + shared.options.times.drain_timeout;
-    shared.control.tell(control::Event::Drain);
+    shared.control.send(control::Event::Drain);
     sleep(NOT_READY_NOTICE.min(shared.options.times.drain_timeout * 5 / 8)).await;
-    shared.leaf.tell(leaf::Event::Drain);
-    shared.gather.tell(gather::Event::Drain);
+    shared.leaf.send(leaf::Event::Drain);
+    shared.gather.send(gather::Event::Drain);
     loop {
         let open = count_open(shared).await;
         if open == 0 {
@@ -72,7 +72,7 @@
         if Instant::now() >= deadline {
             warn!(shared.log, "graceful shutdown ends: drain timeout expired with open work";
                 "open" => open);
-            shared.gather.tell(gather::Event::Cut);
+            shared.gather.send(gather::Event::Cut);
             break;
         }
         sleep(POLL_INTERVAL).await;
--- a/src/http.rs
+++ b/src/http.rs
@@ -24,7 +24,7 @@
     /// body exceeds {0} bytes
     TooLarge(usize),
     /// body cannot be read: {0}
-    Broken(PayloadError),
+    Unreadable(PayloadError),
 }
 
 impl std::error::Error for BodyError {}
@@ -69,11 +69,11 @@
 /// # Errors
 ///
 /// [`BodyError`] if the body is longer than `limit` or cannot be read.
-pub async fn body(request: &mut Request, limit: usize) -> Result<Bytes, BodyError> {
+pub async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let mut bytes = BytesMut::new();
     while let Some(chunk) = payload.next().await {
-        let chunk = chunk.map_err(BodyError::Broken)?;
+        let chunk = chunk.map_err(BodyError::Unreadable)?;
         if bytes.len() + chunk.len() > limit {
             return Err(BodyError::TooLarge(limit));
         }
@@ -99,6 +99,6 @@
 }
 
 /// Returns the value of the parameter `name` in the query string, without decoding.
-pub fn parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.uri().query()?.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
 }
