--- a/crates/core/examples/scale/gather.rs
+++ b/crates/core/examples/scale/gather.rs
@@ -183,9 +183,9 @@
         entry: Arc::new(entry),
         servers: (0..3).map(|place| server(number, place)).collect(),
         candidates: (0..CANDIDATES).map(candidate).collect(),
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
 
--- a/crates/core/examples/scale/leaf.rs
+++ b/crates/core/examples/scale/leaf.rs
@@ -233,8 +233,8 @@
         entry: Arc::new(entry),
         servers: (0..replicas).map(|place| server(number, place)).collect(),
         candidates: vec![Candidate { peer: peer("instance-00000"), live: true, local: true }],
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
--- a/crates/core/examples/sweep_trial/messages.rs
+++ b/crates/core/examples/sweep_trial/messages.rs
@@ -89,8 +89,8 @@
         }),
         servers: (0..SERVERS).map(server).collect(),
         candidates: vec![Candidate { peer: peer("trial"), live: true, local: true }],
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
--- a/crates/core/src/control/project.rs
+++ b/crates/core/src/control/project.rs
@@ -272,7 +272,7 @@
         let targets: Vec<_> = inputs.store.servers_of_service(name).collect();
         let sharer_count = self.sharer_count(inputs, name, &targets);
         let instance_count = inputs.membership.size();
-        let scarce = self.needs_single_sender(inputs, name, &targets, &limits);
+        let has_few_connections = self.needs_single_sender(inputs, name, &targets, &limits);
         let allows_idle_connections = |target: &&publication::Server| {
             placement::allows_one_connection_each(connection_limit(target, &limits), instance_count)
         };
@@ -280,7 +280,7 @@
         let mut servers = Vec::with_capacity(targets.len());
         for target in &targets {
             let limit = connection_limit(target, &limits);
-            let share = newest.map_or(0, |ranked| match scarce {
+            let share = newest.map_or(0, |ranked| match has_few_connections {
                 true => placement::single_sender_share(limit),
                 false => self.own_share(inputs, ranked, limit, sharer_count),
             });
@@ -290,9 +290,10 @@
         let known_entry = old.filter(|old| *old.entry == *entry);
         Some(Service {
             candidates: self.candidates(inputs, &rankings, widest_limit),
-            sharers: u32::try_from(sharer_count).unwrap_or(u32::MAX),
-            scarce,
-            spare: !scarce && (!observed_listing || targets.iter().all(allows_idle_connections)),
+            sharer_count: u32::try_from(sharer_count).unwrap_or(u32::MAX),
+            has_few_connections,
+            keeps_idle_connection: !has_few_connections
+                && (!observed_listing || targets.iter().all(allows_idle_connections)),
             name: Arc::clone(name),
             entry: known_entry
                 .map_or_else(|| Arc::new(entry.clone()), |old| Arc::clone(&old.entry)),
@@ -332,11 +333,11 @@
         inputs: &ViewInputs<'_>,
         ranked: &rankings::RankedCandidates,
         limit: u32,
-        sharers: usize,
+        sharer_count: usize,
     ) -> u32 {
         let own = &inputs.settings.name;
         if inputs.settings.listing == Listing::Observed {
-            return placement::observed_share(limit, sharers);
+            return placement::observed_share(limit, sharer_count);
         }
         if inputs.settings.placement == Placement::Direct {
             let listed = self.rankings.is_listed(own);
--- a/crates/core/src/control/quarantine.rs
+++ b/crates/core/src/control/quarantine.rs
@@ -414,7 +414,7 @@
         let view = view::Quarantine {
             refused: refused.map(|(request, _)| *request).collect(),
             suspected: requests.into_iter().filter(undecided).collect(),
-            ended: unrefuted()
+            crashes: unrefuted()
                 .map(|(incarnation, crash)| {
                     (Arc::clone(&incarnation.server), crash_view(incarnation, crash))
                 })
@@ -460,8 +460,8 @@
     }
 }
 
-fn crash_view(incarnation: &Incarnation, crash: &CrashReport) -> view::End {
-    view::End { incarnation: incarnation.number, at: crash.at }
+fn crash_view(incarnation: &Incarnation, crash: &CrashReport) -> view::ServerCrash {
+    view::ServerCrash { incarnation: incarnation.number, at: crash.at }
 }
 
 /// Sorts the list, removes duplicates and keeps no more than `limit` items.
--- a/crates/core/src/gather/near.rs
+++ b/crates/core/src/gather/near.rs
@@ -60,7 +60,7 @@
     delegated: bool,
     /// Whether some of the group's servers have too few connections for every instance to call
     /// them.
-    scarce: bool,
+    has_few_connections: bool,
     /// When it is decided again whether one instance calls the group's servers for all instances.
     next_decision_at: Instant,
 }
@@ -75,7 +75,7 @@
         let (count, sum) =
             known.fold((0, 0.0), |(count, sum), utilization| (count + 1, sum + utilization));
         let mean = if count == 0 { 0.0 } else { sum / f64::from(count) };
-        self.delegated = self.scarce
+        self.delegated = self.has_few_connections
             || mean
                 > if self.delegated { DELEGATION_UTILIZATION.0 } else { DELEGATION_UTILIZATION.1 };
     }
@@ -223,7 +223,8 @@
     ) -> Option<&Peer> {
         let index_groups = index_groups(&mut self.by_index, view, own, index);
         let mut groups = index_groups.zone_groups.iter().flat_map(|in_zones| &in_zones.groups);
-        let group = groups.find(|group| group.scarce && group.services.contains(service))?;
+        let group =
+            groups.find(|group| group.has_few_connections && group.services.contains(service))?;
         let is_usable = |aggregator: &&Option<Peer>| {
             !is_skipped(aggregator.as_ref().map_or(own.name, |peer| &*peer.name))
         };
@@ -264,7 +265,8 @@
         millicores: neighbour.millicores,
         peer: Some(&neighbour.peer),
     }));
-    let is_scarce = |name: &Arc<str>| view.service(name).is_some_and(|known| known.scarce);
+    let has_few_connections =
+        |name: &Arc<str>| view.service(name).is_some_and(|known| known.has_few_connections);
     let mut assigned_groups: Map<&str, usize> = Map::default();
     let mut group = |zones: &[&str], services: &[Arc<str>]| {
         let ranked = rank_candidates(&candidates, zones, &services[0], &assigned_groups);
@@ -275,7 +277,7 @@
             services: Arc::new(services.iter().cloned().collect()),
             aggregators: ranked.iter().map(|candidate| candidate.peer.cloned()).collect(),
             delegated: false,
-            scarce: services.iter().any(is_scarce),
+            has_few_connections: services.iter().any(has_few_connections),
             next_decision_at: Instant::default(),
         }
     };
--- a/crates/core/src/leaf/budget.rs
+++ b/crates/core/src/leaf/budget.rs
@@ -39,15 +39,15 @@
 }
 
 impl Allowance {
-    /// Returns the share of one of `sharers` instances. `names` holds the name of the service and
-    /// the name of the instance.
+    /// Returns the share of one of `sharer_count` instances. `names` holds the name of the service
+    /// and the name of the instance.
     ///
     /// Where the catalogue sets a refill window, a sixth of the burst of the fleet is refilled per
     /// window. An instance that only hands its portions to the owner, which sends for all
     /// instances, makes no first calls and earns no tokens. Without the refill, it would refuse
     /// every portion that it has to send again after the first two losses of an owner.
-    pub(super) fn of(limits: &Limits, sharers: u32, names: [&str; 2]) -> Self {
-        let sharers = sharers.max(1);
+    pub(super) fn of(limits: &Limits, sharer_count: u32, names: [&str; 2]) -> Self {
+        let sharer_count = sharer_count.max(1);
         let window = Duration::from_millis(limits.extra_window_ms.into());
         let earned_per_call = limits.extra_percent * (TOKENS_PER_CALL / 100);
         let Some(burst) =
@@ -60,8 +60,9 @@
             };
         };
         let has_refill = !window.is_zero() && earned_per_call > 0;
-        let refill_per_window = if has_refill { burst / 6 / sharers } else { 0 };
-        let max_tokens = round_to_calls((burst / sharers).saturating_sub(refill_per_window), names);
+        let refill_per_window = if has_refill { burst / 6 / sharer_count } else { 0 };
+        let max_tokens =
+            round_to_calls((burst / sharer_count).saturating_sub(refill_per_window), names);
         Self { earned_per_call, max_tokens, refill_per_window, window }
     }
 
--- a/crates/core/src/leaf/connections.rs
+++ b/crates/core/src/leaf/connections.rs
@@ -183,7 +183,7 @@
         let queued_per_server = service.queue.len().div_ceil(service.servers.len().max(1));
         let in_use = server.in_flight as usize + queued_per_server;
         let keeps_trying = service.has_demand(self.now) && server.open_failures > 0;
-        let keep_one = service.spare || keeps_trying;
+        let keep_one = service.keeps_idle_connection || keeps_trying;
         in_use.max(service.peak.get(self.now)).max(usize::from(keep_one))
     }
 
--- a/crates/core/src/leaf/crash.rs
+++ b/crates/core/src/leaf/crash.rs
@@ -138,12 +138,12 @@
             return;
         }
         for server in self.servers.values_mut() {
-            let end = quarantine.ended.get(&server.name);
-            let end = end.filter(|end| end.incarnation == server.incarnation);
+            let crash = quarantine.crashes.get(&server.name);
+            let crash = crash.filter(|crash| crash.incarnation == server.incarnation);
             let received_at =
                 server.reported_termination.map_or(self.now, |termination| termination.received_at);
             server.reported_termination =
-                end.map(|end| ReportedTermination { terminated_at: end.at, received_at });
+                crash.map(|crash| ReportedTermination { terminated_at: crash.at, received_at });
         }
         let known = quarantine.refused.iter().chain(&quarantine.suspected);
         let answered = known.filter(|request| self.crashes.was_answered(**request));
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -96,9 +96,9 @@
     pub(super) cursor: usize,
     /// Whether the servers accept too few connections for every instance: one instance then sends
     /// all work of the service.
-    pub(super) scarce: bool,
+    pub(super) has_few_connections: bool,
     /// Whether this instance may keep a connection without work to each server of the service.
-    pub(super) spare: bool,
+    pub(super) keeps_idle_connection: bool,
     /// Whether the service has several candidates, of which only the owner sends work to the
     /// servers.
     owned: bool,
@@ -130,8 +130,8 @@
             due_hedges: BTreeSet::new(),
             peak: Peak::default(),
             cursor: 0,
-            scarce: listed.scarce,
-            spare: listed.spare,
+            has_few_connections: listed.has_few_connections,
+            keeps_idle_connection: listed.keeps_idle_connection,
             owned: listed.candidates.len() > 1,
             extra_call_shares: ExtraCallShares::of(listed, own),
             last_handover: None,
@@ -152,7 +152,7 @@
     /// On whose behalf this instance sends work to the service's servers: for all instances or for
     /// itself alone; `None` if another instance sends the work.
     pub(super) fn sender(&self) -> Option<Sender> {
-        match (self.scarce, self.rank) {
+        match (self.has_few_connections, self.rank) {
             (true, _) if self.last_handover.is_some() => Some(Sender::ForAll),
             (true, _) => None,
             (false, Rank::Owner) if self.owned => Some(Sender::ForAll),
@@ -164,8 +164,8 @@
     /// Updates the service from a view; `own` is the name of this instance.
     pub(super) fn update_from_view(&mut self, listed: &view::Service, own: &str) {
         self.rank = Rank::of(listed);
-        self.scarce = listed.scarce;
-        self.spare = listed.spare;
+        self.has_few_connections = listed.has_few_connections;
+        self.keeps_idle_connection = listed.keeps_idle_connection;
         self.owned = listed.candidates.len() > 1;
         self.entry = Arc::clone(&listed.entry);
         self.extra_call_shares = ExtraCallShares::of(listed, own);
@@ -194,7 +194,7 @@
     }
 
     fn apply_extra_call_share(&mut self) {
-        let sends_for_all = self.scarce && self.last_handover.is_some();
+        let sends_for_all = self.has_few_connections && self.last_handover.is_some();
         self.budget.set_allowance(if sends_for_all {
             self.extra_call_shares.sends_for_all
         } else {
@@ -236,8 +236,10 @@
     /// call was ever hedged.
     fn of(listed: &view::Service, own: &str) -> Self {
         let limits = listed.entry.limits.unwrap_or_default();
-        let share_of = |sharers: u32| Allowance::of(&limits, sharers, [&listed.name, own]);
-        let usual_sharers = listed.sharers.saturating_mul(if listed.scarce { 2 } else { 1 });
+        let share_of =
+            |sharer_count: u32| Allowance::of(&limits, sharer_count, [&listed.name, own]);
+        let usual_sharers =
+            listed.sharer_count.saturating_mul(if listed.has_few_connections { 2 } else { 1 });
         Self { one_of_all: share_of(usual_sharers), sends_for_all: share_of(2 * CANDIDATES as u32) }
     }
 }
--- a/crates/core/src/view.rs
+++ b/crates/core/src/view.rs
@@ -102,12 +102,12 @@
     pub candidates: Vec<Candidate>,
     /// Number of instances among which the entry's limits for the whole fleet are divided; at least
     /// 1.
-    pub sharers: u32,
+    pub sharer_count: u32,
     /// Whether the servers accept too few connections for every instance to have one per slot: one
     /// instance then sends the work of all.
-    pub scarce: bool,
+    pub has_few_connections: bool,
     /// Whether each instance may keep a connection without work to each of the service's servers.
-    pub spare: bool,
+    pub keeps_idle_connection: bool,
 }
 
 impl Service {
@@ -129,7 +129,7 @@
 
 /// An incarnation of a server whose process was reported as terminated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct End {
+pub struct ServerCrash {
     /// Incarnation of the server process.
     pub incarnation: u64,
     /// Time at which the server's calls broke off, as far as this instance knows.
@@ -145,7 +145,7 @@
     /// answer clears them.
     pub suspected: Set<Fingerprint>,
     /// Reported terminations of server processes, by server name.
-    pub ended: Map<Arc<str>, End>,
+    pub crashes: Map<Arc<str>, ServerCrash>,
 }
 
 impl Quarantine {
--- a/crates/core/tests/fleet/observed_fleet.rs
+++ b/crates/core/tests/fleet/observed_fleet.rs
@@ -265,13 +265,14 @@
         zone: &'static str,
         near: bool,
         parts: &'static [&'static str],
-        sharers: u32,
+        sharer_count: u32,
         share: u32,
     }
     // The servers are in zone campanha, as are two of the other instances; the other two are in
     // sao-bento.
     let sweep_parts = &["docks"][..];
-    let case = |zone, near, parts, sharers, share| Case { zone, near, parts, sharers, share };
+    let case =
+        |zone, near, parts, sharer_count, share| Case { zone, near, parts, sharer_count, share };
     let cases = [
         case("campanha", false, sweep_parts, 5, 4),
         case("campanha", true, &[], 5, 4),
@@ -311,8 +312,8 @@
         instance.advance(6000);
         let view = instance.machine.view();
         let service = view.service("docks").expect("the service");
-        let actual = (service.sharers, instance.first_server_share());
-        assert_eq!(actual, (case.sharers, case.share), "{} {}", case.zone, case.near);
+        let actual = (service.sharer_count, instance.first_server_share());
+        assert_eq!(actual, (case.sharer_count, case.share), "{} {}", case.zone, case.near);
     }
 }
 
--- a/crates/core/tests/fleet/quarantine.rs
+++ b/crates/core/tests/fleet/quarantine.rs
@@ -230,7 +230,7 @@
     assert!(frames <= 2 * idle_frames, "{frames} frames in 5 s, {idle_frames} before");
     for node in fleet.nodes.values() {
         assert!(node.machine.quarantined().count() <= 2 * MAX_REQUESTS);
-        assert!(node.machine.view().quarantine.ended.len() <= 64);
+        assert!(node.machine.view().quarantine.crashes.len() <= 64);
     }
 }
 
@@ -303,7 +303,7 @@
                 let mut quarantine = Quarantine::clone(&view.quarantine);
                 // Each instance dates a crash by the age that was reported to it, so the times
                 // differ.
-                quarantine.ended.values_mut().for_each(|crash| crash.at = Instant::default());
+                quarantine.crashes.values_mut().for_each(|crash| crash.at = Instant::default());
                 quarantine
             };
             for at in 0..3 {
--- a/crates/core/tests/gather/fleet.rs
+++ b/crates/core/tests/gather/fleet.rs
@@ -126,9 +126,9 @@
     });
     let servers = spec.held_versions.iter().zip(&spec.leaving).enumerate();
     Service {
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
         name: spec.name.into(),
         entry: Arc::new(Entry {
             service: spec.name.to_owned(),
--- a/crates/core/tests/gather/homes.rs
+++ b/crates/core/tests/gather/homes.rs
@@ -26,11 +26,11 @@
 }
 
 impl Case {
-    fn fixture(&self, scarce: bool) -> ViewFixture {
+    fn fixture(&self, has_few_connections: bool) -> ViewFixture {
         ViewFixture {
             parts: vec![self.zones.to_vec(); 6],
             peers: vec![("e2", LOCAL_ZONE), ("e3", SOUTH_ZONE), ("e4", SOUTH_ZONE)],
-            scarce,
+            has_few_connections,
             homes: self.homes.to_vec(),
             ..ViewFixture::default()
         }
@@ -96,8 +96,10 @@
 #[test]
 fn messages_stay_in_home_regions() {
     for case in cases() {
-        for (target, scarce) in [("/docks/1", false), ("/docks/1", true), ("/permit/1", false)] {
-            let mut harness = case.fixture(scarce).harness();
+        for (target, has_few_connections) in
+            [("/docks/1", false), ("/docks/1", true), ("/permit/1", false)]
+        {
+            let mut harness = case.fixture(has_few_connections).harness();
             for number in 0..8 {
                 let request = message(&format!("{target}-{number}"), target, 0);
                 let actions = harness.call(request);
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/near.rs
@@ -35,7 +35,7 @@
     pub(crate) version: u64,
     pub(crate) unrepeatable: bool,
     /// Whether the servers have too few connections for every instance to call them.
-    pub(crate) scarce: bool,
+    pub(crate) has_few_connections: bool,
     /// Zone that is evacuated, so that nothing may be sent to its servers.
     pub(crate) evacuated: &'static str,
     /// Regions to whose servers the routes' messages may be sent; if empty, all regions.
@@ -53,7 +53,7 @@
             millicores: Map::default(),
             version: VERSION,
             unrepeatable: false,
-            scarce: false,
+            has_few_connections: false,
             evacuated: "",
             homes: Vec::new(),
         }
@@ -65,7 +65,7 @@
 }
 
 fn service(name: &str, zones: &[&str], fixture: &ViewFixture) -> Service {
-    let scarce = fixture.scarce;
+    let has_few_connections = fixture.has_few_connections;
     let server = |(number, zone): (usize, &&str)| Server {
         name: format!("{name}-{number}").into(),
         address: "127.0.0.1:9".into(),
@@ -83,9 +83,9 @@
         entry: Arc::default(),
         servers: zones.iter().enumerate().map(server).collect(),
         candidates: vec![Candidate { peer: peer(SELF), live: true, local: true }],
-        sharers: 1,
-        scarce,
-        spare: !scarce,
+        sharer_count: 1,
+        has_few_connections,
+        keeps_idle_connection: !has_few_connections,
     }
 }
 
@@ -542,7 +542,13 @@
     millicores.extend([("e9", 1000), (SELF, 250)]);
     // 36 parts, which are divided into groups of six.
     let parts = vec![vec!["campanha", "sao-bento"]; 36];
-    let fixture = ViewFixture { parts, peers, millicores, scarce: true, ..ViewFixture::default() };
+    let fixture = ViewFixture {
+        parts,
+        peers,
+        millicores,
+        has_few_connections: true,
+        ..ViewFixture::default()
+    };
     let mut harness = fixture.harness();
     let mut groups: Map<Arc<str>, usize> = Map::default();
     for (to, work) in sent_work(&harness.call(sweep("k"))) {
@@ -644,7 +650,8 @@
     ] {
         let parts = vec![vec!["campanha", "sao-bento"]; 3];
         let peers = vec![("e2", "campanha"), ("e3", "sao-bento"), ("e4", "campanha")];
-        let fixture = ViewFixture { parts, peers, scarce: true, ..ViewFixture::default() };
+        let fixture =
+            ViewFixture { parts, peers, has_few_connections: true, ..ViewFixture::default() };
         let mut harness = fixture.harness();
         let works = sent_work(&harness.call(sweep("k")));
         assert!(works.iter().all(|(to, _)| **to != *SELF), "no server is in the local zone");
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -115,7 +115,7 @@
 }
 
 impl Simulation {
-    fn new(scarce: bool) -> Self {
+    fn new(has_few_connections: bool) -> Self {
         let (name, zone) = INSTANCES[0];
         let entry = gather::Settings::builder(name, INCARNATION).near(zone).build();
         let sender = |(name, zone): &(&str, &str)| Sender {
@@ -138,13 +138,13 @@
             sweeps: 0,
         };
         for instance in 0..INSTANCES.len() {
-            simulation.publish(instance, scarce);
+            simulation.publish(instance, has_few_connections);
         }
         simulation
     }
 
-    fn publish(&mut self, instance: usize, scarce: bool) {
-        let view = Arc::new(view(instance, &self.senders[instance].states, scarce));
+    fn publish(&mut self, instance: usize, has_few_connections: bool) {
+        let view = Arc::new(view(instance, &self.senders[instance].states, has_few_connections));
         if instance == 0 {
             self.gather(gather::Event::View(Arc::clone(&view)));
         }
@@ -211,12 +211,12 @@
         self.executions.entry((key, service)).or_default().insert(server);
     }
 
-    fn step(&mut self, step: Step, scarce: bool) {
+    fn step(&mut self, step: Step, has_few_connections: bool) {
         match step {
             Step::SetState { instance, server, state } => {
                 let instance = usize::from(instance) % INSTANCES.len();
                 self.senders[instance].states[usize::from(server) % ZONES.len()] = state;
-                self.publish(instance, scarce);
+                self.publish(instance, has_few_connections);
             }
             Step::Sweep => self.sweep(),
             Step::Deliver(which) => self.deliver(usize::from(which) % INSTANCES.len()),
@@ -348,7 +348,7 @@
     number.parse().expect("a number")
 }
 
-fn view(instance: usize, states: &[ServerState], scarce: bool) -> View {
+fn view(instance: usize, states: &[ServerState], has_few_connections: bool) -> View {
     let mut view = View { generation: 1, ready: true, ..View::default() };
     for service in PARTS {
         let server = |(number, zone): (usize, &&str)| Server {
@@ -366,8 +366,8 @@
             name: service.into(),
             servers: ZONES.iter().enumerate().filter(known).map(server).collect(),
             candidates: vec![candidate],
-            scarce,
-            spare: !scarce,
+            has_few_connections,
+            keeps_idle_connection: !has_few_connections,
             ..harness::limited(limits, Vec::new())
         });
     }
@@ -400,13 +400,15 @@
 /// Simulates the steps of each input and checks on how many servers each part ran.
 fn check_attempts(property: Property) {
     let steps = bolero::produce::<Vec<Step>>().with().len(0_usize..=200);
-    property.with_generator((bolero::produce::<bool>(), steps)).for_each(|(scarce, steps)| {
-        let mut simulation = Simulation::new(*scarce);
-        for step in steps {
-            simulation.step(*step, *scarce);
-        }
-        simulation.check();
-    });
+    property.with_generator((bolero::produce::<bool>(), steps)).for_each(
+        |(has_few_connections, steps)| {
+            let mut simulation = Simulation::new(*has_few_connections);
+            for step in steps {
+                simulation.step(*step, *has_few_connections);
+            }
+            simulation.check();
+        },
+    );
 }
 
 /// Instances learn at different times that a server joins, leaves or is gone. Peers are lost while
@@ -426,20 +428,20 @@
 
 /// Sends a sweep through one instance after the other: after all of its calls have failed, the link
 /// to each instance is lost.
-fn send_through_each_instance(simulation: &mut Simulation, scarce: bool) {
-    simulation.step(Step::Sweep, scarce);
+fn send_through_each_instance(simulation: &mut Simulation, has_few_connections: bool) {
+    simulation.step(Step::Sweep, has_few_connections);
     for lost in 0..INSTANCES.len() as u8 {
         for instance in 0..INSTANCES.len() as u8 {
-            simulation.step(Step::Deliver(instance), scarce);
+            simulation.step(Step::Deliver(instance), has_few_connections);
         }
         while !simulation.calls.is_empty() {
-            simulation.step(Step::End(0, End::Error), scarce);
+            simulation.step(Step::End(0, End::Error), has_few_connections);
         }
-        simulation.step(Step::LinkDown(lost), scarce);
+        simulation.step(Step::LinkDown(lost), has_few_connections);
     }
-    simulation.step(Step::Wait(255), scarce);
-    simulation.step(Step::Wait(255), scarce);
-    simulation.step(Step::Wait(255), scarce);
+    simulation.step(Step::Wait(255), has_few_connections);
+    simulation.step(Step::Wait(255), has_few_connections);
+    simulation.step(Step::Wait(255), has_few_connections);
 }
 
 /// An instance sends the parts of sweeps, two servers fail its calls, and the instance is lost. Its
@@ -448,12 +450,12 @@
 /// servers.
 #[test]
 fn successor_of_a_lost_instance_uses_the_same_servers() {
-    for scarce in [false, true] {
-        let mut simulation = Simulation::new(scarce);
+    for has_few_connections in [false, true] {
+        let mut simulation = Simulation::new(has_few_connections);
         for _ in 0..60 {
-            send_through_each_instance(&mut simulation, scarce);
+            send_through_each_instance(&mut simulation, has_few_connections);
         }
-        assert!(simulation.check() >= 150, "scarce {scarce}");
+        assert!(simulation.check() >= 150, "few connections {has_few_connections}");
     }
 }
 
@@ -466,11 +468,12 @@
     for state in [ServerState::Leaving, ServerState::Unknown] {
         for instance in 0..INSTANCES.len() as u8 {
             for server in 0..ZONES.len() as u8 {
-                for scarce in [false, true] {
-                    let mut simulation = Simulation::new(scarce);
-                    simulation.step(Step::SetState { instance, server, state }, scarce);
+                for has_few_connections in [false, true] {
+                    let mut simulation = Simulation::new(has_few_connections);
+                    simulation
+                        .step(Step::SetState { instance, server, state }, has_few_connections);
                     for _ in 0..30 {
-                        send_through_each_instance(&mut simulation, scarce);
+                        send_through_each_instance(&mut simulation, has_few_connections);
                     }
                     assert!(
                         simulation.check() >= 60,
--- a/crates/core/tests/leaf/connections.rs
+++ b/crates/core/tests/leaf/connections.rs
@@ -133,8 +133,11 @@
 /// 12,111 portions refused by one instance, all with CONNECT_FAILED.
 #[test]
 fn scarce_connections_are_retried_while_work_arrives() {
-    let scarce_service =
-        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let scarce_service = Service {
+        has_few_connections: true,
+        keeps_idle_connection: false,
+        ..service(vec![server(1), server(2)])
+    };
     let by_need_settings =
         Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
     let mut harness = Harness::unconnected(by_need_settings, scarce_service);
@@ -172,8 +175,11 @@
 /// reach these servers went on trying.
 #[test]
 fn unreachable_servers_without_work_are_not_retried() {
-    let scarce_service =
-        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let scarce_service = Service {
+        has_few_connections: true,
+        keeps_idle_connection: false,
+        ..service(vec![server(1), server(2)])
+    };
     let by_need_settings =
         Settings::builder("porto-1", 7).seed(1).by_need(true).probing(false).build();
     let mut harness = Harness::unconnected(by_need_settings, scarce_service);
@@ -193,8 +199,11 @@
 /// accepted connections again.
 #[test]
 fn recovered_servers_are_reconnected_within_1500_ms() {
-    let scarce_service =
-        Service { scarce: true, spare: false, ..service(vec![server(1), server(2)]) };
+    let scarce_service = Service {
+        has_few_connections: true,
+        keeps_idle_connection: false,
+        ..service(vec![server(1), server(2)])
+    };
     let mut too_late = Vec::new();
     for seed in 0..20 {
         let by_need_settings =
--- a/crates/core/tests/leaf/crash.rs
+++ b/crates/core/tests/leaf/crash.rs
@@ -14,7 +14,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::{target, wire};
 use ladder_core::time::Instant;
-use ladder_core::view::{End, Quarantine, Service, View};
+use ladder_core::view::{Quarantine, ServerCrash, Service, View};
 
 use crate::harness::{Harness, SentCall, limited, server, work};
 
@@ -353,8 +353,8 @@
     harness.advance(2000);
     let before = sweep(&mut harness, 1, "/docks/1");
     harness.advance(5);
-    let ended = ended([&before[0]], harness.now);
-    harness.handle(view_with(1, ended));
+    let quarantine = with_crashes([&before[0]], harness.now);
+    harness.handle(view_with(1, quarantine));
     harness.answer_all(before.iter().cloned());
     assert_eq!(refuted(&harness), 0, "sent before the termination was reported");
     harness.advance(5);
@@ -370,10 +370,10 @@
 }
 
 /// A quarantine that reports the servers of these calls as terminated at this time.
-fn ended<'a>(sent: impl IntoIterator<Item = &'a SentCall>, at: Instant) -> Quarantine {
-    let end = End { incarnation: 1, at };
-    let ended = sent.into_iter().map(|sent| (Arc::clone(&sent.address), end)).collect();
-    Quarantine { ended, ..Quarantine::default() }
+fn with_crashes<'a>(sent: impl IntoIterator<Item = &'a SentCall>, at: Instant) -> Quarantine {
+    let crash = ServerCrash { incarnation: 1, at };
+    let crashes = sent.into_iter().map(|sent| (Arc::clone(&sent.address), crash)).collect();
+    Quarantine { crashes, ..Quarantine::default() }
 }
 
 /// Time in milliseconds for which connections stay closed before they are opened again.
@@ -424,10 +424,11 @@
         };
         let receive_report = |harness: &mut Harness| {
             let servers = (0..PARTS).flat_map(|part| [1, 2].map(|number| (part, number)));
-            let end = End { incarnation: 1, at: start + Duration::from_millis(case.ended) };
-            let ended =
-                servers.map(|(part, number)| (format!("{}-{number}", name(part)).into(), end));
-            let quarantine = Quarantine { ended: ended.collect(), ..Quarantine::default() };
+            let crash =
+                ServerCrash { incarnation: 1, at: start + Duration::from_millis(case.ended) };
+            let crashes =
+                servers.map(|(part, number)| (format!("{}-{number}", name(part)).into(), crash));
+            let quarantine = Quarantine { crashes: crashes.collect(), ..Quarantine::default() };
             harness.handle(view_with(1, quarantine));
         };
         let mut steps = [(case.opened_at - CLOSED_MS, 0), (case.opened_at, 1), (case.received, 2)];
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -200,9 +200,9 @@
 /// saved up a tenth of them, and all ten together no more than a single instance could alone.
 #[test]
 fn saved_extra_calls_are_shared_by_the_fleet() {
-    for (sharers, saved) in [(1, 40), (10, 4)] {
+    for (sharer_count, saved) in [(1, 40), (10, 4)] {
         let limits = Limits { extra_burst: 40, ..limits(10, true) };
-        let service = view::Service { sharers, ..limited(limits, vec![server(1), server(2)]) };
+        let service = view::Service { sharer_count, ..limited(limits, vec![server(1), server(2)]) };
         let mut harness = Harness::connected(settings(), service);
         for query in 0..500 {
             let sent = first_call(&mut harness, query, "check");
@@ -221,7 +221,7 @@
         // A hundred first calls earn ten more extra calls.
         assert!(
             (saved..=saved + 11).contains(&retries),
-            "{retries} retries with {sharers} sharing instances"
+            "{retries} retries with {sharer_count} sharing instances"
         );
     }
 }
--- a/crates/core/tests/leaf/harness.rs
+++ b/crates/core/tests/leaf/harness.rs
@@ -122,9 +122,9 @@
         entry: Arc::new(entry()),
         servers,
         candidates: vec![candidate("porto-1", true), candidate("porto-2", false)],
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
 
--- a/crates/core/tests/leaf/overload.rs
+++ b/crates/core/tests/leaf/overload.rs
@@ -298,17 +298,17 @@
 #[test]
 fn instance_that_sends_for_all_can_hedge() {
     struct Case {
-        scarce: bool,
+        has_few_connections: bool,
         /// Name of the instance that sends the work.
         from: &'static str,
         calls: usize,
     }
     let cases = [
-        Case { scarce: true, from: "porto-2", calls: 2 },
-        Case { scarce: true, from: "porto-1", calls: 1 },
-        Case { scarce: false, from: "porto-2", calls: 1 },
+        Case { has_few_connections: true, from: "porto-2", calls: 2 },
+        Case { has_few_connections: true, from: "porto-1", calls: 1 },
+        Case { has_few_connections: false, from: "porto-2", calls: 1 },
     ];
-    for Case { scarce, from, calls } in cases {
+    for Case { has_few_connections, from, calls } in cases {
         let limits = Limits {
             queue: 1000,
             extra_percent: 20,
@@ -318,7 +318,10 @@
             ..Limits::default()
         };
         let listed = limited(limits, vec![server(1), server(2)]);
-        let mut harness = Harness::connected(settings(), Service { sharers: 60, scarce, ..listed });
+        let mut harness = Harness::connected(
+            settings(),
+            Service { sharer_count: 60, has_few_connections, ..listed },
+        );
         let send_work = |harness: &mut Harness, query: u64| {
             let work = LARGE.work(query);
             harness.handle(Event::Work { from: peer(from), incarnation: 9, work });
@@ -333,7 +336,11 @@
         harness.log.clear();
         send_work(&mut harness, 100);
         harness.advance(100);
-        assert_eq!(harness.sent().len(), calls, "scarce {scarce}, from {from}");
+        assert_eq!(
+            harness.sent().len(),
+            calls,
+            "few connections {has_few_connections}, from {from}"
+        );
     }
 }
 
@@ -344,17 +351,17 @@
 #[test]
 fn extra_calls_are_refilled_with_time() {
     struct Case {
-        sharers: u32,
+        sharer_count: u32,
         window_ms: u32,
         /// Number of parts of the second loss that can be paid for, of four.
         paid: usize,
     }
     let cases = [
-        Case { sharers: 9, window_ms: 10_000, paid: 1 },
-        Case { sharers: 3, window_ms: 10_000, paid: 3 },
-        Case { sharers: 9, window_ms: 0, paid: 0 },
+        Case { sharer_count: 9, window_ms: 10_000, paid: 1 },
+        Case { sharer_count: 3, window_ms: 10_000, paid: 3 },
+        Case { sharer_count: 9, window_ms: 0, paid: 0 },
     ];
-    for Case { sharers, window_ms, paid } in cases {
+    for Case { sharer_count, window_ms, paid } in cases {
         let limits = Limits {
             queue: 1000,
             extra_percent: 20,
@@ -364,7 +371,7 @@
             ..Limits::default()
         };
         let listed = limited(limits, vec![server(1), server(2)]);
-        let mut harness = Harness::connected(settings(), Service { sharers, ..listed });
+        let mut harness = Harness::connected(settings(), Service { sharer_count, ..listed });
         let lose = |harness: &mut Harness, queries: std::ops::Range<u64>| {
             harness.log.clear();
             for query in queries {
@@ -380,13 +387,13 @@
         };
         assert!(
             lose(&mut harness, 0..4) <= 2,
-            "{sharers} sharing instances: the initial budget pays for two"
+            "{sharer_count} sharing instances: the initial budget pays for two"
         );
         harness.advance(10_000);
         assert_eq!(
             4 - lose(&mut harness, 4..8),
             paid,
-            "{sharers} sharing instances, window of {window_ms} ms"
+            "{sharer_count} sharing instances, window of {window_ms} ms"
         );
     }
 }
--- a/crates/core/tests/leaf/warmup.rs
+++ b/crates/core/tests/leaf/warmup.rs
@@ -119,12 +119,13 @@
     /// Remaining warm-up time of each server in milliseconds, as published.
     warmup: [u64; 2],
     evacuated: bool,
-    scarce: bool,
+    has_few_connections: bool,
     /// Number of other instances.
     others: usize,
 }
 
-const COLD: Setup = Setup { warmup: [3000, 0], evacuated: false, scarce: false, others: 2 };
+const COLD: Setup =
+    Setup { warmup: [3000, 0], evacuated: false, has_few_connections: false, others: 2 };
 
 impl Setup {
     fn view(self) -> Event {
@@ -147,8 +148,11 @@
             ..server(number)
         });
         let candidates = vec![Candidate { peer: peer("porto-1"), live: true, local: true }];
-        let service =
-            Service { candidates, scarce: self.scarce, ..limited(limits, servers.to_vec()) };
+        let service = Service {
+            candidates,
+            has_few_connections: self.has_few_connections,
+            ..limited(limits, servers.to_vec())
+        };
         let mut view = View { ready: true, ..View::default() };
         view.insert(service);
         let neighbour = |name: String| Neighbour {
@@ -213,7 +217,11 @@
     let own = quota(LIMIT, "docks-1", "porto-1", &fleet) as usize;
     let cases = [
         Case { name: "each instance sends itself", setup: COLD, max: own },
-        Case { name: "one instance sends for all", setup: Setup { scarce: true, ..COLD }, max: 5 },
+        Case {
+            name: "one instance sends for all",
+            setup: Setup { has_few_connections: true, ..COLD },
+            max: 5,
+        },
         Case { name: "alone", setup: Setup { others: 0, ..COLD }, max: 11 },
     ];
     for Case { name, setup, max } in cases {
@@ -272,7 +280,7 @@
 #[test]
 fn work_beyond_the_warmup_limit_is_refused() {
     let mut harness =
-        Setup { warmup: [30_000, 30_000], others: 60, scarce: true, ..COLD }.harness();
+        Setup { warmup: [30_000, 30_000], others: 60, has_few_connections: true, ..COLD }.harness();
     let mut refused = 0;
     for query in 0..30 {
         harness.log.clear();
