--- a/crates/core/src/age.rs
+++ b/crates/core/src/age.rs
@@ -25,11 +25,11 @@
 /// that shows more has waited in buffers for the excess. The first frame of an incarnation can't be
 /// compared with another one and counts as fresh.
 #[derive(Clone, Debug, Default)]
-pub struct Gauges {
+pub struct ClockOffsets {
     senders: Map<Arc<str>, ClockDifference>,
 }
 
-impl Gauges {
+impl ClockOffsets {
     /// Time in microseconds that a frame waited in buffers; `sent_us` is the sender's clock at
     /// sending.
     pub fn age(&mut self, sender: Arc<str>, incarnation: u64, sent_us: u64, now: Instant) -> u64 {
--- a/crates/core/src/leaf.rs
+++ b/crates/core/src/leaf.rs
@@ -39,6 +39,6 @@
 
 pub use event::{Action, Event};
 pub use machine::Machine;
-pub use service::Rank;
+pub use service::Role;
 pub use settings::{Builder, Settings};
 pub use trace::{CallEnd, CallTrace, Cause, Trace};
--- a/crates/core/src/leaf/connections.rs
+++ b/crates/core/src/leaf/connections.rs
@@ -8,7 +8,7 @@
 use super::event::{Action, ConnectionKey};
 use super::machine::{MAINTENANCE_INTERVAL, Machine};
 use super::server::ServerKey;
-use super::service::{Rank, ServiceId};
+use super::service::{Role, ServiceId};
 use super::timer::Timer;
 
 /// Connections kept in addition to a server's slots, so that a cancellation or a load report
@@ -155,16 +155,16 @@
             service.last_accepted != Default::default() && idle_since < KEEP_AFTER_WORK;
         let has_work = !service.queue.is_empty() || worked_recently;
         let all_slots = server.slots as usize + SPARE_CONNECTIONS;
-        let by_rank = match service.rank {
-            Rank::Owner if self.settings.by_need => self.connections_by_need(key).min(all_slots),
-            Rank::Owner => all_slots,
-            Rank::Next | Rank::Spare if has_work => all_slots,
-            Rank::Next => 1,
-            Rank::Spare | Rank::None => 0,
+        let by_role = match service.role {
+            Role::Owner if self.settings.by_need => self.connections_by_need(key).min(all_slots),
+            Role::Owner => all_slots,
+            Role::FirstFallback | Role::OtherCandidate if has_work => all_slots,
+            Role::FirstFallback => 1,
+            Role::OtherCandidate | Role::None => 0,
         };
         let wanted = match self.settings.queueing {
-            true => by_rank,
-            false => by_rank.max(self.connections_for_queued_work(key)),
+            true => by_role,
+            false => by_role.max(self.connections_for_queued_work(key)),
         };
         wanted.min(server.share as usize)
     }
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -15,7 +15,7 @@
 use super::queue::{self, Class};
 use super::record::{self, Finding};
 use super::reply::Refused;
-use super::service::{Rank, Service, ServiceId};
+use super::service::{Role, Service, ServiceId};
 use super::timer::Timer;
 use crate::control::hash;
 use crate::count;
@@ -101,7 +101,7 @@
         {
             return Err(Refused::not_run(Reason::Quarantined));
         }
-        let id = id.filter(|id| self.services[*id].rank != Rank::None);
+        let id = id.filter(|id| self.services[*id].role != Role::None);
         let id = id.ok_or_else(|| Refused::not_run(self.unowned_reason()))?;
         self.services[id].last_arrival = Some(self.now);
         if job.from.name != self.settings.name {
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -12,7 +12,7 @@
 use super::portion::PortionKey;
 use super::reply::Refused;
 use super::server::{Server, ServerKey};
-use super::service::{Rank, Service, ServiceId};
+use super::service::{Role, Service, ServiceId};
 use super::timer::Timer;
 use crate::view::{self, View};
 
@@ -40,7 +40,7 @@
             if view.service(&self.services[id].name).is_none() {
                 self.exclude_servers(id);
             }
-            if self.services[id].rank == Rank::None {
+            if self.services[id].role == Role::None {
                 self.refuse_queued(id, out);
             }
             self.refuse_unservable(id, out);
@@ -65,8 +65,8 @@
         for server in &listed.servers {
             self.apply_server(id, server, out);
         }
-        let rank = self.services[id].rank;
-        if rank == Rank::None {
+        let role = self.services[id].role;
+        if role == Role::None {
             self.exclude_servers(id);
         }
     }
@@ -131,7 +131,7 @@
     /// service or this instance is no longer a candidate.
     fn exclude_servers(&mut self, id: ServiceId) {
         let service = &mut self.services[id];
-        service.rank = Rank::None;
+        service.role = Role::None;
         let servers = service.servers.clone();
         for key in servers {
             self.servers[key].listed = false;
@@ -149,7 +149,7 @@
     }
 
     /// Removes the unlisted servers without calls and connections, and the service itself when it
-    /// has no rank, servers, calls or queued portions. Returns `true` when the service was removed.
+    /// has no role, servers, calls or queued portions. Returns `true` when the service was removed.
     pub(super) fn remove_unused(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
@@ -161,7 +161,7 @@
             self.remove_server(id, key);
         }
         let service = &self.services[id];
-        let used = service.rank != Rank::None || service.in_flight > 0;
+        let used = service.role != Role::None || service.in_flight > 0;
         if used || !service.servers.is_empty() || !service.queue.is_empty() {
             return false;
         }
--- a/crates/core/src/leaf/service.rs
+++ b/crates/core/src/leaf/service.rs
@@ -34,13 +34,13 @@
 
 /// Role of this instance for a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rank {
+pub enum Role {
     /// This instance is the owner: the first live candidate.
     Owner,
     /// This instance is the first fallback owner: the live candidate after the owner.
-    Next,
+    FirstFallback,
     /// This instance is another candidate.
-    Spare,
+    OtherCandidate,
     /// This instance is no longer a candidate; its calls in flight are still completed.
     None,
 }
@@ -52,7 +52,7 @@
     ForItself,
 }
 
-impl Rank {
+impl Role {
     /// Role of this instance for the service, according to the view.
     pub(super) fn of(service: &view::Service) -> Self {
         if !service.is_candidate() {
@@ -61,8 +61,8 @@
         let live = service.candidates.iter().filter(|candidate| candidate.live);
         match live.take(2).position(|candidate| candidate.local) {
             Some(0) => Self::Owner,
-            Some(_) => Self::Next,
-            None => Self::Spare,
+            Some(_) => Self::FirstFallback,
+            None => Self::OtherCandidate,
         }
     }
 }
@@ -72,7 +72,7 @@
 pub(super) struct Service {
     pub(super) name: Arc<str>,
     pub(super) entry: Arc<catalogue::Entry>,
-    pub(super) rank: Rank,
+    pub(super) role: Role,
     /// Servers of the service, including unlisted ones with calls in flight.
     pub(super) servers: Vec<ServerKey>,
     pub(super) queue: Queue,
@@ -118,7 +118,7 @@
         Self {
             name: Arc::clone(&listed.name),
             entry: Arc::clone(&listed.entry),
-            rank: Rank::of(listed),
+            role: Role::of(listed),
             servers: Vec::new(),
             queue: Queue::default(),
             in_flight: 0,
@@ -152,10 +152,10 @@
     /// On whose behalf this instance sends work to the service's servers: for all instances or for
     /// itself alone; `None` if another instance sends the work.
     pub(super) fn sender(&self) -> Option<Sender> {
-        match (self.has_few_connections, self.rank) {
+        match (self.has_few_connections, self.role) {
             (true, _) if self.last_handover.is_some() => Some(Sender::ForAll),
             (true, _) => None,
-            (false, Rank::Owner) if self.owned => Some(Sender::ForAll),
+            (false, Role::Owner) if self.owned => Some(Sender::ForAll),
             (false, _) if self.owned => None,
             (false, _) => Some(Sender::ForItself),
         }
@@ -163,7 +163,7 @@
 
     /// Updates the service from a view; `own` is the name of this instance.
     pub(super) fn update_from_view(&mut self, listed: &view::Service, own: &str) {
-        self.rank = Rank::of(listed);
+        self.role = Role::of(listed);
         self.has_few_connections = listed.has_few_connections;
         self.keeps_idle_connection = listed.keeps_idle_connection;
         self.owned = listed.candidates.len() > 1;
--- a/crates/core/src/leaf/status.rs
+++ b/crates/core/src/leaf/status.rs
@@ -6,7 +6,7 @@
 use super::exclusion::Exclusion;
 use super::machine::Machine;
 use super::server;
-use super::service::Rank;
+use super::service::Role;
 use crate::time::Instant;
 
 /// Status of a service.
@@ -15,7 +15,7 @@
     /// Unique name of the service.
     pub name: Arc<str>,
     /// Role of this instance for the service.
-    pub rank: Rank,
+    pub role: Role,
     /// Number of queued portions.
     pub queued: usize,
     /// Number of open calls, including calls whose portion already has a reply.
@@ -98,7 +98,7 @@
         });
         Service {
             name: Arc::clone(&service.name),
-            rank: service.rank,
+            role: service.role,
             queued: service.queue.len(),
             in_flight: service.in_flight,
             median: times.quantile(0.5),
--- a/crates/core/tests/age.rs
+++ b/crates/core/tests/age.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ladder_core::age::Gauges;
+use ladder_core::age::ClockOffsets;
 use ladder_core::time::Instant;
 
 struct Frame {
@@ -34,7 +34,7 @@
         frame("a restarted sender has another clock", 2, 10, 31_000_000, 0),
         frame("the new clock is its own reference", 2, 20, 31_000_510, 500),
     ];
-    let mut clocks = Gauges::default();
+    let mut clocks = ClockOffsets::default();
     for frame in frames {
         let now = Instant::from_micros(frame.received_us);
         let age = clocks.age(Arc::from("a"), frame.incarnation, frame.sent_us, now);
@@ -44,7 +44,7 @@
 
 #[test]
 fn each_sender_has_its_own_clock_difference() {
-    let mut clocks = Gauges::default();
+    let mut clocks = ClockOffsets::default();
     assert_eq!(clocks.age(Arc::from("a"), 1, 0, Instant::from_micros(900)), 0);
     assert_eq!(clocks.age(Arc::from("b"), 1, 0, Instant::from_micros(5_000)), 0);
     assert_eq!(clocks.age(Arc::from("a"), 1, 0, Instant::from_micros(1_000)), 100);
@@ -54,7 +54,7 @@
 fn any_clock_values_give_an_age_without_overflow() {
     ladder_property::check(20_000).with_type::<(u64, u64, u64, u64)>().for_each(
         |(sent, received, sent_later, received_later)| {
-            let mut clocks = Gauges::default();
+            let mut clocks = ClockOffsets::default();
             clocks.age(Arc::from("a"), 1, *sent, Instant::from_micros(*received));
             clocks.age(Arc::from("a"), 1, *sent_later, Instant::from_micros(*received_later));
         },
--- a/src/link/inbound.rs
+++ b/src/link/inbound.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use ladder_core::age::Gauges;
+use ladder_core::age::ClockOffsets;
 use ladder_schema::bounds;
 use ladder_schema::outcome::Reason;
 use ladder_schema::wire::Frame;
@@ -48,11 +48,11 @@
 
     /// Passes each valid frame to `deliver` until the socket is closed.
     pub fn run(self, socket: &Socket, mut deliver: impl FnMut(Frame)) {
-        let mut gauges = Gauges::default();
+        let mut clock_offsets = ClockOffsets::default();
         while let Ok(message) = socket.recv() {
             match self.decode(&message) {
                 Ok(mut frame) => {
-                    self.deduct_buffer_time(&mut gauges, &mut frame);
+                    self.deduct_buffer_time(&mut clock_offsets, &mut frame);
                     deliver(frame);
                 }
                 Err(reason) => self.metrics.dropped(reason),
@@ -76,10 +76,10 @@
     /// A process that was paused finds old frames in its socket. Their budgets are relative times,
     /// so without this correction the work would look recent and would be executed for callers that
     /// timed out long ago.
-    fn deduct_buffer_time(&self, gauges: &mut Gauges, frame: &mut Frame) {
+    fn deduct_buffer_time(&self, clock_offsets: &mut ClockOffsets, frame: &mut Frame) {
         let sender = Arc::from(frame.from.as_str());
         let sent = frame.sent_us;
-        let age_us = gauges.age(sender, frame.incarnation, sent, self.clock.now());
+        let age_us = clock_offsets.age(sender, frame.incarnation, sent, self.clock.now());
         for work in &mut frame.work {
             work.budget_us = work.budget_us.saturating_sub(age_us);
             if let Some(collect) = &mut work.collect {
