--- a/crates/core/src/gather.rs
+++ b/crates/core/src/gather.rs
@@ -14,9 +14,10 @@
 //! [`history`] keeps the steps of recent queries for operators.
 //!
 //! Portions of a forwarded sweep may be aggregated by peers that are closer to the servers:
-//! [`near`] assigns portions to such peers, [`collect`] takes the merged replies and detects a
-//! peer that sends none in time.
+//! [`aggregator_selection`] assigns portions to such peers, [`collect`] takes the merged replies and
+//! detects a peer that sends none in time.
 
+mod aggregator_selection;
 mod answer;
 mod avoid;
 mod check;
@@ -28,16 +29,15 @@
 mod keys;
 mod machine;
 mod merge;
-mod near;
 mod peers;
 mod plan;
 mod quantile;
 mod query;
 mod reply;
+mod reply_handling;
 mod send;
 mod settings;
 mod snapshot;
-mod take;
 mod timers;
 mod withdraw;
 
--- a/crates/core/src/gather/collect.rs
+++ b/crates/core/src/gather/collect.rs
@@ -11,10 +11,10 @@
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_schema::wire::{Collect, Pending, Reply};
 
+use super::aggregator_selection::PartialAggregator;
 use super::event::Action;
 use super::failover::{MAX_WAKE_DELAY, OwnerLoss};
 use super::machine::Machine;
-use super::near::PartialAggregator;
 use super::peers::PeerKey;
 use super::query::{PortionState, Query, QueryKey};
 use super::reply::{self, SendingLocation};
--- a/crates/core/src/gather/failover.rs
+++ b/crates/core/src/gather/failover.rs
@@ -10,7 +10,7 @@
 use super::machine::{Machine, count};
 use super::peers::PeerKey;
 use super::query::{Portion, Progress, Query, QueryKey, Sending};
-use super::take::may_send_again;
+use super::reply_handling::may_send_again;
 use super::timers::Timer;
 use crate::collections::{Map, Set};
 use crate::count;
--- a/crates/core/src/gather/machine.rs
+++ b/crates/core/src/gather/machine.rs
@@ -7,13 +7,13 @@
 use ladder_schema::outcome::{Reason, Verdict};
 use slotmap::SlotMap;
 
+use super::aggregator_selection::AggregatorSelector;
 use super::avoid::AvoidedServers;
 use super::check::{self, Refusal};
 use super::event::{Action, CallerId, Event};
 use super::forward::RoutePlanner;
 use super::history::{Explanation, History, Step};
 use super::keys::RequestKeys;
-use super::near::AggregatorSelector;
 use super::peers::Peers;
 use super::plan::{Plan, Planner};
 use super::query::{Query, QueryIds, QueryKey};
--- a/crates/core/src/gather/settings.rs
+++ b/crates/core/src/gather/settings.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::near::LocalInstance;
+use super::aggregator_selection::LocalInstance;
 
 /// Settings of the gathering machine.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/gather/any_order.rs
+++ b/crates/core/tests/gather/event_order.rs
@@ -10,8 +10,8 @@
 use ladder_core::time::Instant;
 
 use crate::fleet::{Fleet, MAP, SELF};
+use crate::harness::{INCARNATION, request};
 use crate::oracle::{Oracle, Sent};
-use crate::session::{INCARNATION, request};
 
 /// Shard map of version 9, which moves shards between services and replaces `f` by `g`.
 const MOVED_MAP: [(&str, &str); 6] =
--- a/crates/core/tests/gather/forward.rs
+++ b/crates/core/tests/gather/forward.rs
@@ -13,7 +13,7 @@
 use ladder_core::view::View;
 
 use crate::fleet::{Fleet, SELF, service_spec};
-use crate::session::{Harness, INCARNATION, answers, only_answer, sent_work};
+use crate::harness::{Harness, INCARNATION, answers, only_answer, sent_work};
 
 /// Host of all routes.
 const HOST: &str = "porto.example";
--- a/crates/core/tests/gather/homes.rs
+++ b/crates/core/tests/gather/homes.rs
@@ -8,8 +8,10 @@
 use ladder_core::schema::wire::Work;
 
 use crate::fleet::SELF;
-use crate::near::{LOCAL_ZONE, ViewFixture, deliver_replies, message, refusal_reply};
-use crate::session::{only_answer, sent_work};
+use crate::harness::{only_answer, sent_work};
+use crate::partial_aggregation::{
+    LOCAL_ZONE, ViewFixture, deliver_replies, message, refusal_reply,
+};
 
 /// A zone of the region `south`; the instance under test is in `north`.
 const SOUTH_ZONE: &str = "campanha";
--- a/crates/core/tests/gather/plans.rs
+++ b/crates/core/tests/gather/invalid_requests.rs
@@ -5,7 +5,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::Fleet;
-use crate::session::{Harness, only_answer, request};
+use crate::harness::{Harness, only_answer, request};
 
 struct Case {
     change: fn(&mut Request),
--- a/crates/core/tests/gather/main.rs
+++ b/crates/core/tests/gather/main.rs
@@ -1,17 +1,17 @@
 //! Tests of the gathering machine.
 
-mod any_order;
+mod event_order;
 mod fleet;
 mod forward;
-mod full;
+mod harness;
 mod homes;
-mod near;
+mod invalid_requests;
+mod open_query_limit;
 mod oracle;
 mod owners;
-mod plans;
+mod partial_aggregation;
 mod refusals;
 mod replies;
-mod session;
-mod stop;
+mod shutdown;
 mod sweep;
 mod versions;
--- a/crates/core/tests/gather/full.rs
+++ b/crates/core/tests/gather/open_query_limit.rs
@@ -3,7 +3,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::Fleet;
-use crate::session::{Harness, only_answer, request, sent_work};
+use crate::harness::{Harness, only_answer, request, sent_work};
 
 /// Guards against running out of memory when one service is stuck and its callers wait for their
 /// deadlines.
--- a/crates/core/tests/gather/oracle.rs
+++ b/crates/core/tests/gather/oracle.rs
@@ -12,7 +12,7 @@
 use ladder_core::time::Instant;
 
 use crate::fleet::INDEX;
-use crate::session::INCARNATION;
+use crate::harness::INCARNATION;
 
 /// A portion that was sent to an owner, with the first valid reply to it.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/gather/owners.rs
+++ b/crates/core/tests/gather/owners.rs
@@ -8,7 +8,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::Fleet;
-use crate::session::{
+use crate::harness::{
     Harness, answers, covering_reply, drop_count, missing_summary, only_answer, refusal_reply,
     request, sent_work, start_request,
 };
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/partial_aggregation.rs
@@ -16,7 +16,7 @@
 
 use crate::fleet::{SELF, peer};
 use crate::forward;
-use crate::session::{Harness, INCARNATION, answers, drop_count, only_answer, sent_work};
+use crate::harness::{Harness, INCARNATION, answers, drop_count, only_answer, sent_work};
 
 /// Zone of the instance under test.
 pub(crate) const LOCAL_ZONE: &str = "trindade";
--- a/crates/core/tests/gather/refusals.rs
+++ b/crates/core/tests/gather/refusals.rs
@@ -11,7 +11,7 @@
 use ladder_core::view::{Quarantine, View};
 
 use crate::fleet::Fleet;
-use crate::session::{
+use crate::harness::{
     Harness, answers, covering_reply, only_answer, refusal_reply, request, sent_work, start_request,
 };
 
--- a/crates/core/tests/gather/replies.rs
+++ b/crates/core/tests/gather/replies.rs
@@ -4,7 +4,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::wire::Reply;
 
-use crate::session::{
+use crate::harness::{
     covering_reply, drop_count, only_answer, refusal_reply, request, sent_work, start_request,
 };
 
--- a/crates/core/tests/gather/stop.rs
+++ b/crates/core/tests/gather/shutdown.rs
@@ -3,7 +3,7 @@
 use ladder_core::gather::Event;
 use ladder_core::schema::outcome::{Reason, Verdict};
 
-use crate::session::{only_answer, start_request};
+use crate::harness::{only_answer, start_request};
 
 /// Guards against a booking that runs twice because its caller saw a broken connection and sent
 /// the booking again.
--- a/crates/core/tests/gather/sweep.rs
+++ b/crates/core/tests/gather/sweep.rs
@@ -4,7 +4,7 @@
 use ladder_core::schema::outcome::{Reason, Verdict};
 
 use crate::fleet::{Fleet, service_spec};
-use crate::session::{
+use crate::harness::{
     Harness, answers, covering_reply, missing_summary, only_answer, refusal_reply, request,
     sent_work, start_request,
 };
--- a/crates/core/tests/gather/versions.rs
+++ b/crates/core/tests/gather/versions.rs
@@ -7,7 +7,7 @@
 use ladder_core::schema::wire::{Reply, Work};
 
 use crate::fleet::{Fleet, MAP};
-use crate::session::{
+use crate::harness::{
     Harness, covering_reply, missing_summary, only_answer, refusal_reply, request, sent_work,
 };
 
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -4,7 +4,7 @@
 pub mod check;
 pub mod client;
 pub mod print;
-pub mod story;
+pub mod request_log;
 
 use std::process::ExitCode;
 
@@ -20,7 +20,7 @@
         Command::Status { instances } => client::status(&instances),
         Command::Owners { service, instances } => client::owners(service.as_deref(), &instances),
         Command::Explain { key, instances } => client::explain(&key, &instances),
-        Command::Story { key, logs } => story::run(&key, &logs),
+        Command::Story { key, logs } => request_log::run(&key, &logs),
         Command::Quarantine { release, instances } => client::quarantine(release, &instances),
         Command::Drain { instance } => client::drain(&instance),
         Command::Cut { instance, peers } => client::cut(&instance, peers),
--- a/src/ctl/client.rs
+++ b/src/ctl/client.rs
@@ -44,7 +44,7 @@
     /// {0}
     Check(super::check::Error),
     /// {0}
-    Story(super::story::Error),
+    Story(super::request_log::Error),
 }
 
 impl std::error::Error for Error {}
--- a/src/ctl/story.rs
+++ b/src/ctl/request_log.rs
@@ -48,7 +48,7 @@
         logs.push_str(&read(file)?);
         logs.push('\n');
     }
-    let lines = story(id, &logs);
+    let lines = request_lines(id, &logs);
     if lines.is_empty() {
         return Err(Error::Unknown(id.to_owned()));
     }
@@ -61,7 +61,7 @@
 
 /// Returns the log lines about a request, oldest first. Text before the first brace of a line is
 /// ignored, since log collectors put times and names there.
-pub fn story(id: &str, logs: &str) -> Vec<String> {
+pub fn request_lines(id: &str, logs: &str) -> Vec<String> {
     let mut lines: Vec<(String, String)> = logs
         .lines()
         .filter_map(|line| serde_json::from_str(&line[line.find('{')?..]).ok())
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,6 +1,6 @@
 //! Creates the logger of an instance and writes the log lines about decisions.
 
-mod lines;
+mod request_log;
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use ladder_schema::settings::{Format, Level, Log};
 use slog::{Drain, Logger, info, o, warn};
 
-pub use lines::RequestLog;
+pub use request_log::RequestLog;
 
 /// Creates a logger to standard output with the level and format of `settings`: JSON lines or
 /// human-readable text.
--- a/tests/integration/story.rs
+++ b/tests/integration/story.rs
@@ -1,6 +1,6 @@
 //! Selection of the log lines of one request from the logs of all instances.
 
-use sycamoreladder::ctl::story::story;
+use sycamoreladder::ctl::request_log::request_lines;
 
 /// Log lines of two instances as a log collector delivers them: out of order, with a prefix, mixed
 /// with lines of other requests and with text that is no log line.
@@ -16,7 +16,7 @@
 /// the logs of a fleet: exactly the lines of this request must come out, in order of time.
 #[test]
 fn lines_of_one_request_are_selected_and_sorted_by_time() {
-    let lines = story("a", LOGS);
+    let lines = request_lines("a", LOGS);
     assert_eq!(
         lines,
         [
@@ -24,5 +24,5 @@
             "2026-01-01T00:00:02Z edge-2 answered: missing=1",
         ]
     );
-    assert!(story("unknown", LOGS).is_empty());
+    assert!(request_lines("unknown", LOGS).is_empty());
 }
