--- a/crates/core/examples/scale/gather.rs
+++ b/crates/core/examples/scale/gather.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_core::gather::{Action, Event, Machine, Settings};
 use ladder_core::schema::outcome::Verdict;
 use ladder_core::schema::publication::{Index, Shard, record::Body};
@@ -87,7 +87,7 @@
         self.callers += 1;
         self.now = self.now + Duration::from_millis(1);
         let call = Event::Call {
-            caller: Caller(self.callers),
+            caller: CallerId(self.callers),
             request: call::Request {
                 key: format!("key-{}", self.callers),
                 index: index_name(0),
@@ -187,9 +187,9 @@
         entry: Arc::new(entry),
         servers: (0..3).map(|place| server(number, place)).collect(),
         candidates: (0..CANDIDATES).map(candidate).collect(),
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
 
--- a/crates/core/examples/scale/leaf.rs
+++ b/crates/core/examples/scale/leaf.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event, Machine, Settings};
 use ladder_core::schema::publication::record::Body;
 use ladder_core::schema::{call, target, wire};
@@ -174,7 +174,7 @@
     /// calls that it sends.
     fn handle(&mut self, event: Event) -> Vec<(AttemptKey, target::Request)> {
         let mut sends = Vec::new();
-        let mut opened_connections: Vec<LaneKey> = Vec::new();
+        let mut opened_connections: Vec<ConnectionKey> = Vec::new();
         let mut next_event = Some(event);
         while let Some(event) = next_event {
             let mut out = Vec::new();
@@ -183,9 +183,9 @@
             self.machine_time += before.elapsed();
             for action in out {
                 match action {
-                    Action::Open { lane, .. }
-                    | Action::Probe { lane, .. }
-                    | Action::Cancel { lane, .. } => opened_connections.push(lane),
+                    Action::Open { connection, .. }
+                    | Action::Probe { connection, .. }
+                    | Action::Cancel { connection, .. } => opened_connections.push(connection),
                     Action::Send { attempt, request, .. } => {
                         self.calls += 1;
                         sends.push((attempt, request));
@@ -237,8 +237,8 @@
         entry: Arc::new(entry),
         servers: (0..replicas).map(|place| server(number, place)).collect(),
         candidates: vec![Candidate { peer: peer("instance-00000"), live: true, local: true }],
-        sharers: 1,
-        scarce: false,
-        spare: true,
+        sharer_count: 1,
+        has_few_connections: false,
+        keeps_idle_connection: true,
     }
 }
--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::leaf::{Action, Event, Machine, Settings};
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::{target, wire};
@@ -66,7 +66,7 @@
 enum Step {
     StartQuery,
     Tick,
-    Ready(LaneKey),
+    Ready(ConnectionKey),
     Arrive(u64),
     Complete(u64),
     Cancel(u64),
@@ -98,7 +98,7 @@
     sequence: u64,
     servers: Vec<fleet::Server>,
     servers_by_address: BTreeMap<Arc<str>, usize>,
-    lanes: BTreeMap<LaneKey, usize>,
+    connections: BTreeMap<ConnectionKey, usize>,
     calls: BTreeMap<u64, Call>,
     call_numbers: BTreeMap<String, u64>,
     open_queries: BTreeMap<u64, OpenQuery>,
@@ -116,7 +116,7 @@
         sequence: 0,
         servers: (0..SERVICES * SERVERS_PER_SERVICE).map(|_| fleet::Server::default()).collect(),
         servers_by_address: BTreeMap::new(),
-        lanes: BTreeMap::new(),
+        connections: BTreeMap::new(),
         calls: BTreeMap::new(),
         call_numbers: BTreeMap::new(),
         open_queries: BTreeMap::new(),
@@ -163,7 +163,9 @@
         match step {
             Step::StartQuery => self.start_query(),
             Step::Tick => self.handle(Event::Tick),
-            Step::Ready(lane) if self.lanes.contains_key(&lane) => self.handle(Event::Opened(lane)),
+            Step::Ready(connection) if self.connections.contains_key(&connection) => {
+                self.handle(Event::Opened(connection))
+            }
             Step::Ready(_) => {}
             Step::Arrive(call) => self.arrive(call),
             Step::Complete(call) => self.end_at_server(call, Step::Answer(call)),
@@ -254,21 +256,25 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Open { lane, address, .. } => {
-                self.lanes.insert(lane, self.servers_by_address[&address]);
-                self.schedule(CONNECT_DELAY_US, Step::Ready(lane));
+            Action::Open { connection, address, .. } => {
+                self.connections.insert(connection, self.servers_by_address[&address]);
+                self.schedule(CONNECT_DELAY_US, Step::Ready(connection));
+            }
+            Action::Close(connection) => {
+                self.connections.remove(&connection);
             }
-            Action::Close(lane) => {
-                self.lanes.remove(&lane);
+            Action::Send { connection, attempt, request, .. } => {
+                self.send(connection, attempt, request)
             }
-            Action::Send { lane, attempt, request, .. } => self.send(lane, attempt, request),
-            Action::Cancel { lane, id } => {
-                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(lane));
+            Action::Cancel { connection, id } => {
+                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(connection));
                 if let Some(number) = self.call_numbers.get(&id).copied() {
                     self.schedule(NETWORK_DELAY_US, Step::Cancel(number));
                 }
             }
-            Action::Probe { lane, .. } => self.schedule(2 * NETWORK_DELAY_US, Step::Ready(lane)),
+            Action::Probe { connection, .. } => {
+                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(connection))
+            }
             Action::Reply { reply, .. } => self.reply(&reply),
             Action::Log(_)
             | Action::Pending { .. }
@@ -280,11 +286,11 @@
         }
     }
 
-    fn send(&mut self, lane: LaneKey, attempt: AttemptKey, request: target::Request) {
+    fn send(&mut self, connection: ConnectionKey, attempt: AttemptKey, request: target::Request) {
         self.figures.sent_calls += 1;
         self.sequence += 1;
         let number = self.sequence;
-        let server = self.lanes[&lane];
+        let server = self.connections[&connection];
         self.call_numbers.insert(request.id.clone(), number);
         let call = Call { attempt, server, request };
         self.calls.insert(number, call);
--- a/crates/core/src/gather/failover.rs
+++ b/crates/core/src/gather/failover.rs
@@ -10,7 +10,7 @@
 use super::machine::{Machine, count};
 use super::peers::PeerKey;
 use super::query::{Portion, Progress, Query, QueryKey, Sending};
-use super::take::may_send_again;
+use super::reply_handling::may_send_again;
 use super::timers::Timer;
 use crate::collections::{Map, Set};
 use crate::count;
@@ -210,7 +210,8 @@
         let Some(state) = self.peers.get(peer) else {
             return;
         };
-        let step = Step::Lost { owner: state.peer.name.clone(), portions: portions.len() as u32 };
+        let step =
+            Step::OwnerLost { owner: state.peer.name.clone(), portions: portions.len() as u32 };
         self.history.add(self.queries[key].history_id, now, step);
     }
 
--- a/crates/core/src/gather/query.rs
+++ b/crates/core/src/gather/query.rs
@@ -8,10 +8,10 @@
 use ladder_schema::publication::Index;
 use slotmap::new_key_type;
 
-use super::event::Caller;
+use super::event::CallerId;
 use super::peers::PeerKey;
 use super::plan::{Plan, ServiceShards, Terms};
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::route::Route;
 use crate::time::{Instant, micros};
@@ -87,9 +87,9 @@
     /// Servers on which the portion of a sweep may run.
     ///
     /// Invariant: unchanged once a sending may have run.
-    pub(crate) eligible: Vec<Mark>,
+    pub(crate) eligible: Vec<ServerHash>,
     /// Servers that an instance reported as unusable for this portion.
-    pub(crate) unusable: Vec<Mark>,
+    pub(crate) unusable: Vec<ServerHash>,
     /// Whether some sending was answered without proof that it did not run.
     pub(crate) may_have_run: bool,
     /// Whether an owner replied that the portion ran, but did not return the parts.
@@ -164,7 +164,7 @@
 #[derive(Debug)]
 pub(crate) struct Query {
     /// The caller that has to be answered.
-    pub(crate) caller: Caller,
+    pub(crate) caller: CallerId,
     /// The caller's request.
     pub(crate) request: call::Request,
     /// Number of the query in messages to owners; a restart on another index version assigns a new
@@ -257,7 +257,7 @@
     /// Creates a query for a planned request; no portion has been sent yet.
     pub(crate) fn new(
         now: Instant,
-        caller: Caller,
+        caller: CallerId,
         request: call::Request,
         ids: QueryIds,
         plan: Plan,
--- a/crates/core/src/leaf/ending.rs
+++ b/crates/core/src/leaf/ending.rs
@@ -7,14 +7,14 @@
 use ladder_schema::outcome::{Reason, Verdict};
 
 use super::attempt::{Attempt, Mismatch};
+use super::connection;
 use super::event::{Action, AttemptKey, Outcome};
-use super::lane;
 use super::machine::Machine;
 use super::portion::PortionKey;
 use super::record;
 use super::reply::Refused;
 use super::server::ServerKey;
-use super::trace::End;
+use super::trace::CallEnd;
 use super::verdict;
 use crate::count;
 
@@ -135,14 +135,14 @@
         self.services[attempt.service].in_flight -= 1;
         let server = &mut self.servers[attempt.server];
         server.in_flight -= 1;
-        if reusable && !self.lanes[attempt.lane].closing {
-            self.lanes[attempt.lane].state = lane::State::Idle;
-            self.idle(attempt.lane, out);
+        if reusable && !self.connections[attempt.connection].closing {
+            self.connections[attempt.connection].state = connection::State::Idle;
+            self.idle(attempt.connection, out);
             return;
         }
-        self.remove_lane(attempt.lane);
+        self.remove_connection(attempt.connection);
         if mismatched {
-            out.push(Action::Close(attempt.lane));
+            out.push(Action::Close(attempt.connection));
         }
         self.maintain_server(attempt.server, out);
     }
@@ -235,8 +235,10 @@
         let reason = verdict::reason(&outcome, timed_out);
         let portion = &mut self.portions[key];
         let took = self.now.since(attempt.sent);
-        if let Some(trial) = portion.trials.iter_mut().find(|trial| trial.attempt == ended) {
-            trial.end = Some(End { took, verdict, reason });
+        if let Some(call_trace) =
+            portion.call_traces.iter_mut().find(|call_trace| call_trace.attempt == ended)
+        {
+            call_trace.end = Some(CallEnd { took, verdict, reason });
         }
         portion.attempts.retain(|other| *other != ended);
         let service = &mut self.services[attempt.service];
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -15,11 +15,11 @@
 use super::queue::{self, Class};
 use super::record::{self, Finding};
 use super::reply::Refused;
-use super::service::{Rank, Service, ServiceId};
+use super::service::{Role, Service, ServiceId};
 use super::timer::Timer;
 use crate::control::hash;
 use crate::count;
-use crate::eligible::Mark;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 use crate::view::Peer;
@@ -35,7 +35,7 @@
 
 impl Machine {
     /// Handles a message of work from an entry instance: queues or refuses each of its portions.
-    pub(super) fn recv_work(
+    pub(super) fn handle_work(
         &mut self,
         from: Peer,
         incarnation: u64,
@@ -69,7 +69,7 @@
             self.settle_portion(job, out);
             return;
         }
-        let eligible = eligible_marks(&portion);
+        let eligible = eligible_server_hashes(&portion);
         match self.admit(job, &portion, eligible.as_deref()) {
             Ok((service, deadline)) => self.enqueue(job, portion, eligible, service, deadline),
             Err(refused) => self.refuse(job, portion.service, refused, out),
@@ -82,7 +82,7 @@
         &mut self,
         job: &Job,
         portion: &wire::Portion,
-        eligible: Option<&[Mark]>,
+        eligible: Option<&[ServerHash]>,
     ) -> Result<(ServiceId, Instant), Refused> {
         let id = self.service_ids.get(portion.service.as_str()).copied();
         let finding = id.and_then(|id| self.find_record(job, id));
@@ -101,7 +101,7 @@
         {
             return Err(Refused::not_run(Reason::Quarantined));
         }
-        let id = id.filter(|id| self.services[*id].rank != Rank::None);
+        let id = id.filter(|id| self.services[*id].role != Role::None);
         let id = id.ok_or_else(|| Refused::not_run(self.unowned_reason()))?;
         self.services[id].last_arrival = Some(self.now);
         if job.from.name != self.settings.name {
@@ -234,7 +234,7 @@
         &mut self,
         job: &Arc<Job>,
         portion: wire::Portion,
-        eligible: Option<Arc<[Mark]>>,
+        eligible: Option<Arc<[ServerHash]>>,
         id: ServiceId,
         deadline: Instant,
     ) {
@@ -255,7 +255,7 @@
             timely_at: latency_objective(self.now, &job.work),
             attempts: Vec::new(),
             tried_servers: Vec::new(),
-            trials: Vec::new(),
+            call_traces: Vec::new(),
             calls: 0,
             failures: 0,
             proved_not_run: 0,
@@ -349,10 +349,11 @@
     }
 }
 
-/// Marks of the servers on which a portion may run; `None` if any server of the service may run it.
-fn eligible_marks(portion: &wire::Portion) -> Option<Arc<[Mark]>> {
+/// Hashes of the names of the servers on which a portion may run; `None` if any server of the
+/// service may run it.
+fn eligible_server_hashes(portion: &wire::Portion) -> Option<Arc<[ServerHash]>> {
     let eligible = portion.eligible.as_ref()?;
-    Some(eligible.servers.iter().copied().map(Mark).collect())
+    Some(eligible.servers.iter().copied().map(ServerHash).collect())
 }
 
 /// Kind of work for which call times are learned: the route of a forwarded message, else the
--- a/crates/core/src/leaf/portion.rs
+++ b/crates/core/src/leaf/portion.rs
@@ -15,8 +15,8 @@
 use super::server::ServerKey;
 use super::service::ServiceId;
 use super::siblings::SiblingsKey;
-use super::trace::Trial;
-use crate::eligible::Mark;
+use super::trace::CallTrace;
+use crate::eligible::ServerHash;
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 use crate::view::Peer;
@@ -68,7 +68,7 @@
     /// Whether a server may have received the portion already through another instance.
     pub(super) repeated: bool,
     /// Servers that the portion may run on; `None`: any server of the service.
-    pub(super) eligible: Option<Arc<[Mark]>>,
+    pub(super) eligible: Option<Arc<[ServerHash]>>,
     /// Shards requested from the service.
     pub(super) shards: Arc<[String]>,
     /// Time at which the portion arrived.
@@ -94,7 +94,7 @@
     /// Servers that the portion was sent to, so that a retry selects another one.
     pub(super) tried_servers: Vec<ServerKey>,
     /// Calls of the portion with the inputs of each decision, oldest first.
-    pub(super) trials: Vec<Trial>,
+    pub(super) call_traces: Vec<CallTrace>,
     /// Number of calls made to targets for the portion.
     pub(super) calls: u32,
     /// Number of the portion's calls that ended without an answer.
--- a/crates/core/src/leaf/refresh.rs
+++ b/crates/core/src/leaf/refresh.rs
@@ -6,13 +6,13 @@
 use ladder_schema::outcome::Reason;
 use ladder_schema::target;
 
+use super::connection;
 use super::event::Action;
-use super::lane;
 use super::machine::{MAINTENANCE_INTERVAL, Machine, Pause};
 use super::portion::PortionKey;
 use super::reply::Refused;
 use super::server::{Server, ServerKey};
-use super::service::{Rank, Service, ServiceId};
+use super::service::{Role, Service, ServiceId};
 use super::timer::Timer;
 use crate::view::{self, View};
 
@@ -40,7 +40,7 @@
             if view.service(&self.services[id].name).is_none() {
                 self.exclude_servers(id);
             }
-            if self.services[id].rank == Rank::None {
+            if self.services[id].role == Role::None {
                 self.refuse_queued(id, out);
             }
             self.refuse_unservable(id, out);
@@ -65,8 +65,8 @@
         for server in &listed.servers {
             self.apply_server(id, server, out);
         }
-        let rank = self.services[id].rank;
-        if rank == Rank::None {
+        let role = self.services[id].role;
+        if role == Role::None {
             self.exclude_servers(id);
         }
     }
@@ -116,12 +116,12 @@
     /// their deadline and occupy the slots of the new process. Calls on these connections may have
     /// run.
     fn close_stale_connections(&mut self, key: ServerKey, out: &mut Vec<Action>) {
-        for lane in std::mem::take(&mut self.servers[key].lanes) {
-            let Some(old) = self.lanes.remove(lane) else {
+        for connection in std::mem::take(&mut self.servers[key].connections) {
+            let Some(old) = self.connections.remove(connection) else {
                 continue;
             };
-            out.push(Action::Close(lane));
-            if let lane::State::Busy(attempt) = old.state {
+            out.push(Action::Close(connection));
+            if let connection::State::Busy(attempt) = old.state {
                 self.end_as_lost(attempt, out);
             }
         }
@@ -131,7 +131,7 @@
     /// service or this instance is no longer a candidate.
     fn exclude_servers(&mut self, id: ServiceId) {
         let service = &mut self.services[id];
-        service.rank = Rank::None;
+        service.role = Role::None;
         let servers = service.servers.clone();
         for key in servers {
             self.servers[key].listed = false;
@@ -149,11 +149,11 @@
     }
 
     /// Removes the unlisted servers without calls and connections, and the service itself when it
-    /// has no rank, servers, calls or queued portions. Returns `true` when the service was removed.
+    /// has no role, servers, calls or queued portions. Returns `true` when the service was removed.
     pub(super) fn remove_unused(&mut self, id: ServiceId) -> bool {
         let unused = |key: &ServerKey| {
             let server = &self.servers[*key];
-            !server.listed && server.in_flight == 0 && server.lanes.is_empty()
+            !server.listed && server.in_flight == 0 && server.connections.is_empty()
         };
         let keys = self.services[id].servers.iter().copied();
         let unused_servers: Vec<ServerKey> = keys.filter(unused).collect();
@@ -161,7 +161,7 @@
             self.remove_server(id, key);
         }
         let service = &self.services[id];
-        let used = service.rank != Rank::None || service.in_flight > 0;
+        let used = service.role != Role::None || service.in_flight > 0;
         if used || !service.servers.is_empty() || !service.queue.is_empty() {
             return false;
         }
--- a/crates/core/tests/gather/forward.rs
+++ b/crates/core/tests/gather/forward.rs
@@ -13,7 +13,7 @@
 use ladder_core::view::View;
 
 use crate::fleet::{Fleet, SELF, service_spec};
-use crate::session::{Harness, INCARNATION, answers, only_answer, sent_work};
+use crate::harness::{Harness, INCARNATION, answers, only_answer, sent_work};
 
 /// Host of all routes.
 const HOST: &str = "porto.example";
@@ -297,8 +297,10 @@
         assert!(answers(&actions).is_empty(), "{name}: the owner is awaited");
         assert!(actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{name}");
         let account = harness.machine.explain("key of /docks/all").expect("a history");
-        let withdrawn =
-            account.steps.iter().any(|stamp| matches!(stamp.step, Step::Withdrawn { portions: 1 }));
+        let withdrawn = account
+            .steps
+            .iter()
+            .any(|timed_step| matches!(timed_step.step, Step::Withdrawn { portions: 1 }));
         assert!(withdrawn, "{name}: the history has the step");
         let actions = match last_reply {
             Some(last_reply) => harness.reply(SELF, last_reply(&work)),
--- a/crates/core/tests/gather/homes.rs
+++ b/crates/core/tests/gather/homes.rs
@@ -2,14 +2,16 @@
 
 use std::sync::Arc;
 
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::gather::Action;
 use ladder_core::schema::outcome::{Reason, Verdict};
 use ladder_core::schema::wire::Work;
 
 use crate::fleet::SELF;
-use crate::near::{LOCAL_ZONE, ViewFixture, deliver_replies, message, refusal_reply};
-use crate::session::{only_answer, sent_work};
+use crate::harness::{only_answer, sent_work};
+use crate::partial_aggregation::{
+    LOCAL_ZONE, ViewFixture, deliver_replies, message, refusal_reply,
+};
 
 /// A zone of the region `south`; the instance under test is in `north`.
 const SOUTH_ZONE: &str = "campanha";
@@ -26,11 +28,11 @@
 }
 
 impl Case {
-    fn fixture(&self, scarce: bool) -> ViewFixture {
+    fn fixture(&self, has_few_connections: bool) -> ViewFixture {
         ViewFixture {
             parts: vec![self.zones.to_vec(); 6],
             peers: vec![("e2", LOCAL_ZONE), ("e3", SOUTH_ZONE), ("e4", SOUTH_ZONE)],
-            scarce,
+            has_few_connections,
             homes: self.homes.to_vec(),
             ..ViewFixture::default()
         }
@@ -47,7 +49,7 @@
                 let servers = self.zones.iter().enumerate();
                 for (number, _) in servers.filter(|(_, zone)| !self.reachable_zones.contains(zone))
                 {
-                    let outside = Mark::of(&format!("{}-{number}", portion.service)).0;
+                    let outside = ServerHash::of(&format!("{}-{number}", portion.service)).0;
                     assert!(!eligible.servers.contains(&outside), "{}: {eligible:?}", self.name);
                 }
             }
@@ -96,8 +98,10 @@
 #[test]
 fn messages_stay_in_home_regions() {
     for case in cases() {
-        for (target, scarce) in [("/docks/1", false), ("/docks/1", true), ("/permit/1", false)] {
-            let mut harness = case.fixture(scarce).harness();
+        for (target, has_few_connections) in
+            [("/docks/1", false), ("/docks/1", true), ("/permit/1", false)]
+        {
+            let mut harness = case.fixture(has_few_connections).harness();
             for number in 0..8 {
                 let request = message(&format!("{target}-{number}"), target, 0);
                 let actions = harness.call(request);
--- a/crates/core/tests/gather/near.rs
+++ b/crates/core/tests/gather/partial_aggregation.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use ladder_core::collections::Map;
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::gather::{Action, Event, Settings};
 use ladder_core::route::Table;
 use ladder_core::schema::call::{Message, Request, Response};
@@ -16,7 +16,7 @@
 
 use crate::fleet::{SELF, peer};
 use crate::forward;
-use crate::session::{Harness, INCARNATION, answers, drop_count, only_answer, sent_work};
+use crate::harness::{Harness, INCARNATION, answers, drop_count, only_answer, sent_work};
 
 /// Zone of the instance under test.
 pub(crate) const LOCAL_ZONE: &str = "trindade";
@@ -35,7 +35,7 @@
     pub(crate) version: u64,
     pub(crate) unrepeatable: bool,
     /// Whether the servers have too few connections for every instance to call them.
-    pub(crate) scarce: bool,
+    pub(crate) has_few_connections: bool,
     /// Zone that is evacuated, so that nothing may be sent to its servers.
     pub(crate) evacuated: &'static str,
     /// Regions to whose servers the routes' messages may be sent; if empty, all regions.
@@ -53,7 +53,7 @@
             millicores: Map::default(),
             version: VERSION,
             unrepeatable: false,
-            scarce: false,
+            has_few_connections: false,
             evacuated: "",
             homes: Vec::new(),
         }
@@ -65,7 +65,7 @@
 }
 
 fn service(name: &str, zones: &[&str], fixture: &ViewFixture) -> Service {
-    let scarce = fixture.scarce;
+    let has_few_connections = fixture.has_few_connections;
     let server = |(number, zone): (usize, &&str)| Server {
         name: format!("{name}-{number}").into(),
         address: "127.0.0.1:9".into(),
@@ -83,9 +83,9 @@
         entry: Arc::default(),
         servers: zones.iter().enumerate().map(server).collect(),
         candidates: vec![Candidate { peer: peer(SELF), live: true, local: true }],
-        sharers: 1,
-        scarce,
-        spare: !scarce,
+        sharer_count: 1,
+        has_few_connections,
+        keeps_idle_connection: !has_few_connections,
     }
 }
 
@@ -542,7 +542,13 @@
     millicores.extend([("e9", 1000), (SELF, 250)]);
     // 36 parts, which are divided into groups of six.
     let parts = vec![vec!["campanha", "sao-bento"]; 36];
-    let fixture = ViewFixture { parts, peers, millicores, scarce: true, ..ViewFixture::default() };
+    let fixture = ViewFixture {
+        parts,
+        peers,
+        millicores,
+        has_few_connections: true,
+        ..ViewFixture::default()
+    };
     let mut harness = fixture.harness();
     let mut groups: Map<Arc<str>, usize> = Map::default();
     for (to, work) in sent_work(&harness.call(sweep("k"))) {
@@ -618,10 +624,14 @@
             let before = first.1.portions.iter().find(|one| one.service == portion.service);
             let servers = |portion: &Portion| portion.eligible.clone().unwrap_or_default().servers;
             let (before, now) = (servers(before.expect("the same part")), servers(portion));
-            let all =
-                (1..=3).map(|number| Mark::of(&format!("{}-{}", portion.service, number - 1)).0);
-            let left_out = all.into_iter().find(|mark| !before.contains(mark));
-            assert_eq!(left_out.is_some_and(|mark| now.contains(&mark)), expects_third, "{name}");
+            let all = (1..=3)
+                .map(|number| ServerHash::of(&format!("{}-{}", portion.service, number - 1)).0);
+            let left_out = all.into_iter().find(|server_hash| !before.contains(server_hash));
+            assert_eq!(
+                left_out.is_some_and(|server_hash| now.contains(&server_hash)),
+                expects_third,
+                "{name}"
+            );
             assert!(expects_third || now == before, "{name}");
             assert_eq!(now.len(), 2, "{name}");
         }
@@ -640,7 +650,8 @@
     ] {
         let parts = vec![vec!["campanha", "sao-bento"]; 3];
         let peers = vec![("e2", "campanha"), ("e3", "sao-bento"), ("e4", "campanha")];
-        let fixture = ViewFixture { parts, peers, scarce: true, ..ViewFixture::default() };
+        let fixture =
+            ViewFixture { parts, peers, has_few_connections: true, ..ViewFixture::default() };
         let mut harness = fixture.harness();
         let works = sent_work(&harness.call(sweep("k")));
         assert!(works.iter().all(|(to, _)| **to != *SELF), "no server is in the local zone");
@@ -766,7 +777,7 @@
             for portion in &remote.portions {
                 let eligible = portion.eligible.as_ref().expect("a choice of servers");
                 let usable = if evacuated == "campanha" { 2 } else { 1 };
-                let first = Mark::of(&format!("{}-{}", portion.service, usable - 1)).0;
+                let first = ServerHash::of(&format!("{}-{}", portion.service, usable - 1)).0;
                 assert!(eligible.servers.contains(&first), "{evacuated}: {eligible:?}");
             }
         }
@@ -788,11 +799,14 @@
         let portion = work.portions.iter().find(|portion| portion.service == service);
         portion.and_then(|portion| portion.eligible.clone()).expect("a choice").servers
     };
-    let avoid: Vec<u32> = ["s1-0", "s1-1"].map(|name| Mark::of(name).0).to_vec();
+    let avoid: Vec<u32> = ["s1-0", "s1-1"].map(|name| ServerHash::of(name).0).to_vec();
     let [(_, first)] = &sent_work(&harness.call(sweep("first")))[..] else {
         panic!("all servers are called from here");
     };
-    assert!(chosen(first, "s1").contains(&Mark::of("s1-1").0), "near and not reported as failing");
+    assert!(
+        chosen(first, "s1").contains(&ServerHash::of("s1-1").0),
+        "near and not reported as failing"
+    );
     let replies = first.portions.iter().map(|portion| {
         let avoid = if portion.service == "s1" { avoid.clone() } else { Vec::new() };
         Reply { avoid, ..reply(first, &portion.service, &[1]) }
@@ -802,14 +816,14 @@
     let [(_, second)] = &sent_work(&harness.call(sweep("second")))[..] else {
         panic!("all servers are called from here");
     };
-    assert_eq!(chosen(second, "s1")[0], Mark::of("s1-2").0);
+    assert_eq!(chosen(second, "s1")[0], ServerHash::of("s1-2").0);
     assert!(
-        chosen(second, "s2").contains(&Mark::of("s2-1").0),
+        chosen(second, "s2").contains(&ServerHash::of("s2-1").0),
         "the report concerns one service only"
     );
     harness.advance(2500);
     let [(_, third)] = &sent_work(&harness.call(sweep("third")))[..] else {
         panic!("all servers are called from here");
     };
-    assert!(chosen(third, "s1").contains(&Mark::of("s1-1").0), "the report has expired");
+    assert!(chosen(third, "s1").contains(&ServerHash::of("s1-1").0), "the report has expired");
 }
--- a/crates/core/tests/leaf/attempts.rs
+++ b/crates/core/tests/leaf/attempts.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use bolero::{BorrowedInput, ByteSliceGenerator, TestTarget, TypeGenerator};
-use ladder_core::gather::event::Caller;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::gather::event::CallerId;
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::route::Table;
 use ladder_core::schema::call::{Message, Request};
 use ladder_core::schema::catalogue::Limits;
@@ -86,7 +86,7 @@
 
 struct Call {
     attempt: AttemptKey,
-    lane: LaneKey,
+    connection: ConnectionKey,
     instance: usize,
     request: target::Request,
     execution: Execution,
@@ -97,8 +97,8 @@
     states: [ServerState; ZONES.len()],
     /// Whether connections to each server can be opened.
     reachable: [bool; ZONES.len()],
-    opening: Vec<LaneKey>,
-    addresses: BTreeMap<LaneKey, Arc<str>>,
+    opening: Vec<ConnectionKey>,
+    addresses: BTreeMap<ConnectionKey, Arc<str>>,
 }
 
 struct Simulation {
@@ -115,7 +115,7 @@
 }
 
 impl Simulation {
-    fn new(scarce: bool) -> Self {
+    fn new(has_few_connections: bool) -> Self {
         let (name, zone) = INSTANCES[0];
         let entry = gather::Settings::builder(name, INCARNATION).near(zone).build();
         let sender = |(name, zone): &(&str, &str)| Sender {
@@ -138,13 +138,13 @@
             sweeps: 0,
         };
         for instance in 0..INSTANCES.len() {
-            simulation.publish(instance, scarce);
+            simulation.publish(instance, has_few_connections);
         }
         simulation
     }
 
-    fn publish(&mut self, instance: usize, scarce: bool) {
-        let view = Arc::new(view(instance, &self.senders[instance].states, scarce));
+    fn publish(&mut self, instance: usize, has_few_connections: bool) {
+        let view = Arc::new(view(instance, &self.senders[instance].states, has_few_connections));
         if instance == 0 {
             self.gather(gather::Event::View(Arc::clone(&view)));
         }
@@ -178,20 +178,20 @@
     fn act(&mut self, instance: usize, action: leaf::Action) {
         let sender = &mut self.senders[instance];
         match action {
-            leaf::Action::Open { lane, address, .. } => {
-                sender.opening.push(lane);
-                sender.addresses.insert(lane, address);
+            leaf::Action::Open { connection, address, .. } => {
+                sender.opening.push(connection);
+                sender.addresses.insert(connection, address);
             }
-            leaf::Action::Close(lane) => {
-                sender.opening.retain(|other| *other != lane);
-                self.close_connection(instance, lane);
+            leaf::Action::Close(connection) => {
+                sender.opening.retain(|other| *other != connection);
+                self.close_connection(instance, connection);
             }
-            leaf::Action::Send { lane, attempt, request, .. } => {
-                let address = Arc::clone(&sender.addresses[&lane]);
+            leaf::Action::Send { connection, attempt, request, .. } => {
+                let address = Arc::clone(&sender.addresses[&connection]);
                 let (key, service) = request.payload.split_once(' ').expect("key and service");
                 let execution = (key.to_owned(), service_name(&address).to_owned(), address);
                 assert_eq!(service, "sweep");
-                self.calls.push(Call { attempt, lane, instance, request, execution });
+                self.calls.push(Call { attempt, connection, instance, request, execution });
             }
             leaf::Action::Reply { reply, .. } => self.replies.push((instance, reply)),
             _ => {}
@@ -199,9 +199,10 @@
     }
 
     /// Ends the call on a closed connection; the call may have run.
-    fn close_connection(&mut self, instance: usize, lane: LaneKey) {
-        let on_lane = |call: &mut Call| call.instance == instance && call.lane == lane;
-        for call in self.calls.extract_if(.., on_lane).collect::<Vec<_>>() {
+    fn close_connection(&mut self, instance: usize, connection: ConnectionKey) {
+        let on_connection =
+            |call: &mut Call| call.instance == instance && call.connection == connection;
+        for call in self.calls.extract_if(.., on_connection).collect::<Vec<_>>() {
             self.record_execution(call.execution);
         }
     }
@@ -210,12 +211,12 @@
         self.executions.entry((key, service)).or_default().insert(server);
     }
 
-    fn step(&mut self, step: Step, scarce: bool) {
+    fn step(&mut self, step: Step, has_few_connections: bool) {
         match step {
             Step::SetState { instance, server, state } => {
                 let instance = usize::from(instance) % INSTANCES.len();
                 self.senders[instance].states[usize::from(server) % ZONES.len()] = state;
-                self.publish(instance, scarce);
+                self.publish(instance, has_few_connections);
             }
             Step::Sweep => self.sweep(),
             Step::Deliver(which) => self.deliver(usize::from(which) % INSTANCES.len()),
@@ -266,14 +267,18 @@
             message: Some(Box::new(message)),
             ..Request::default()
         };
-        self.gather(gather::Event::Call { caller: Caller(self.sweeps), request });
+        self.gather(gather::Event::Call { caller: CallerId(self.sweeps), request });
     }
 
     fn connect(&mut self, instance: usize) {
-        while let Some(lane) = self.senders[instance].opening.pop() {
+        while let Some(connection) = self.senders[instance].opening.pop() {
             let sender = &self.senders[instance];
-            let opens = sender.reachable[server_number(&sender.addresses[&lane])];
-            let event = if opens { leaf::Event::Opened(lane) } else { leaf::Event::Closed(lane) };
+            let opens = sender.reachable[server_number(&sender.addresses[&connection])];
+            let event = if opens {
+                leaf::Event::Opened(connection)
+            } else {
+                leaf::Event::Closed(connection)
+            };
             self.leaf(instance, event);
         }
     }
@@ -343,7 +348,7 @@
     number.parse().expect("a number")
 }
 
-fn view(instance: usize, states: &[ServerState], scarce: bool) -> View {
+fn view(instance: usize, states: &[ServerState], has_few_connections: bool) -> View {
     let mut view = View { generation: 1, ready: true, ..View::default() };
     for service in PARTS {
         let server = |(number, zone): (usize, &&str)| Server {
@@ -361,8 +366,8 @@
             name: service.into(),
             servers: ZONES.iter().enumerate().filter(known).map(server).collect(),
             candidates: vec![candidate],
-            scarce,
-            spare: !scarce,
+            has_few_connections,
+            keeps_idle_connection: !has_few_connections,
             ..harness::limited(limits, Vec::new())
         });
     }
@@ -395,13 +400,15 @@
 /// Simulates the steps of each input and checks on how many servers each part ran.
 fn check_attempts(property: Property) {
     let steps = bolero::produce::<Vec<Step>>().with().len(0_usize..=200);
-    property.with_generator((bolero::produce::<bool>(), steps)).for_each(|(scarce, steps)| {
-        let mut simulation = Simulation::new(*scarce);
-        for step in steps {
-            simulation.step(*step, *scarce);
-        }
-        simulation.check();
-    });
+    property.with_generator((bolero::produce::<bool>(), steps)).for_each(
+        |(has_few_connections, steps)| {
+            let mut simulation = Simulation::new(*has_few_connections);
+            for step in steps {
+                simulation.step(*step, *has_few_connections);
+            }
+            simulation.check();
+        },
+    );
 }
 
 /// Instances learn at different times that a server joins, leaves or is gone. Peers are lost while
@@ -421,20 +428,20 @@
 
 /// Sends a sweep through one instance after the other: after all of its calls have failed, the link
 /// to each instance is lost.
-fn send_through_each_instance(simulation: &mut Simulation, scarce: bool) {
-    simulation.step(Step::Sweep, scarce);
+fn send_through_each_instance(simulation: &mut Simulation, has_few_connections: bool) {
+    simulation.step(Step::Sweep, has_few_connections);
     for lost in 0..INSTANCES.len() as u8 {
         for instance in 0..INSTANCES.len() as u8 {
-            simulation.step(Step::Deliver(instance), scarce);
+            simulation.step(Step::Deliver(instance), has_few_connections);
         }
         while !simulation.calls.is_empty() {
-            simulation.step(Step::End(0, End::Error), scarce);
+            simulation.step(Step::End(0, End::Error), has_few_connections);
         }
-        simulation.step(Step::LinkDown(lost), scarce);
+        simulation.step(Step::LinkDown(lost), has_few_connections);
     }
-    simulation.step(Step::Wait(255), scarce);
-    simulation.step(Step::Wait(255), scarce);
-    simulation.step(Step::Wait(255), scarce);
+    simulation.step(Step::Wait(255), has_few_connections);
+    simulation.step(Step::Wait(255), has_few_connections);
+    simulation.step(Step::Wait(255), has_few_connections);
 }
 
 /// An instance sends the parts of sweeps, two servers fail its calls, and the instance is lost. Its
@@ -443,12 +450,12 @@
 /// servers.
 #[test]
 fn successor_of_a_lost_instance_uses_the_same_servers() {
-    for scarce in [false, true] {
-        let mut simulation = Simulation::new(scarce);
+    for has_few_connections in [false, true] {
+        let mut simulation = Simulation::new(has_few_connections);
         for _ in 0..60 {
-            send_through_each_instance(&mut simulation, scarce);
+            send_through_each_instance(&mut simulation, has_few_connections);
         }
-        assert!(simulation.check() >= 150, "scarce {scarce}");
+        assert!(simulation.check() >= 150, "few connections {has_few_connections}");
     }
 }
 
@@ -461,11 +468,12 @@
     for state in [ServerState::Leaving, ServerState::Unknown] {
         for instance in 0..INSTANCES.len() as u8 {
             for server in 0..ZONES.len() as u8 {
-                for scarce in [false, true] {
-                    let mut simulation = Simulation::new(scarce);
-                    simulation.step(Step::SetState { instance, server, state }, scarce);
+                for has_few_connections in [false, true] {
+                    let mut simulation = Simulation::new(has_few_connections);
+                    simulation
+                        .step(Step::SetState { instance, server, state }, has_few_connections);
                     for _ in 0..30 {
-                        send_through_each_instance(&mut simulation, scarce);
+                        send_through_each_instance(&mut simulation, has_few_connections);
                     }
                     assert!(
                         simulation.check() >= 60,
--- a/crates/core/tests/leaf/forward.rs
+++ b/crates/core/tests/leaf/forward.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use ladder_core::eligible::Mark;
+use ladder_core::eligible::ServerHash;
 use ladder_core::leaf::event::Outcome;
 use ladder_core::leaf::{Action, Event, Settings};
 use ladder_core::schema::call::{Message, Part, Response};
@@ -157,8 +157,8 @@
         let mut harness =
             Harness::connected(settings(), limited(limits(100, false), servers.collect()));
         let mut work = forwarded(1, "sweep");
-        let mark = |number: &u8| Mark::of(&server(*number).name).0;
-        let servers = named.iter().map(mark).collect();
+        let server_hash = |number: &u8| ServerHash::of(&server(*number).name).0;
+        let servers = named.iter().map(server_hash).collect();
         work.portions[0].eligible = Some(wire::Eligible { servers });
         harness.deliver_work(work);
         let mut seen = BTreeSet::new();
@@ -200,9 +200,9 @@
 /// saved up a tenth of them, and all ten together no more than a single instance could alone.
 #[test]
 fn saved_extra_calls_are_shared_by_the_fleet() {
-    for (sharers, saved) in [(1, 40), (10, 4)] {
+    for (sharer_count, saved) in [(1, 40), (10, 4)] {
         let limits = Limits { extra_burst: 40, ..limits(10, true) };
-        let service = view::Service { sharers, ..limited(limits, vec![server(1), server(2)]) };
+        let service = view::Service { sharer_count, ..limited(limits, vec![server(1), server(2)]) };
         let mut harness = Harness::connected(settings(), service);
         for query in 0..500 {
             let sent = first_call(&mut harness, query, "check");
@@ -221,7 +221,7 @@
         // A hundred first calls earn ten more extra calls.
         assert!(
             (saved..=saved + 11).contains(&retries),
-            "{retries} retries with {sharers} sharing instances"
+            "{retries} retries with {sharer_count} sharing instances"
         );
     }
 }
@@ -251,9 +251,9 @@
     let sent = first_call(&mut harness, 1, "check");
     harness.handle(cancel(1));
     harness.advance(199);
-    assert!(!harness.log.contains(&Action::Close(sent.lane)));
+    assert!(!harness.log.contains(&Action::Close(sent.connection)));
     harness.advance(2);
-    assert!(harness.log.contains(&Action::Close(sent.lane)));
+    assert!(harness.log.contains(&Action::Close(sent.connection)));
     let cancels = harness.log.iter().filter(|action| matches!(action, Action::Cancel { .. }));
     assert_eq!(cancels.count(), 0);
 }
@@ -267,7 +267,7 @@
     harness.advance(50);
     harness.end_call(sent.attempt, response(&sent, 200));
     harness.advance(300);
-    assert!(!harness.log.contains(&Action::Close(sent.lane)));
+    assert!(!harness.log.contains(&Action::Close(sent.connection)));
 }
 
 /// A server announces in its response that it will close the connection. A message sent on this
@@ -276,12 +276,12 @@
 fn closing_connection_carries_no_other_call() {
     let mut harness = harness(settings(), limits(100, true));
     let sent = first_call(&mut harness, 1, "check");
-    harness.handle(Event::Closed(sent.lane));
+    harness.handle(Event::Closed(sent.connection));
     harness.end_call(sent.attempt, response(&sent, 200));
     assert_eq!(harness.replies(), [(Verdict::Ran, Reason::Unspecified)]);
     for query in 2..30 {
         let next = first_call(&mut harness, query, "check");
-        assert_ne!(next.lane, sent.lane);
+        assert_ne!(next.connection, sent.connection);
         harness.end_call(next.attempt, response(&next, 200));
     }
 }
@@ -315,15 +315,15 @@
 fn replies_name_servers_that_fail_while_others_do_not() {
     for (failing, named) in [(vec![1], vec![1]), (vec![], vec![]), (vec![1, 2], vec![])] {
         let mut harness = harness(settings_without_cancellation(), limits(100, false));
-        let marks = |numbers: &[u8]| -> Vec<u32> {
-            numbers.iter().map(|number| Mark::of(&format!("docks-{number}")).0).collect()
+        let server_hashes = |numbers: &[u8]| -> Vec<u32> {
+            numbers.iter().map(|number| ServerHash::of(&format!("docks-{number}")).0).collect()
         };
         let mut avoided = Vec::new();
         for query in 0..40 {
             harness.log.clear();
             let mut work = forwarded(query, "sweep");
             let alone = query < 6 && !failing.is_empty();
-            let eligible = if alone { marks(&failing) } else { marks(&[1, 2]) };
+            let eligible = if alone { server_hashes(&failing) } else { server_hashes(&[1, 2]) };
             work.portions[0].eligible = Some(wire::Eligible { servers: eligible });
             harness.deliver_work(work);
             let fails = |sent: &SentCall| {
@@ -341,9 +341,11 @@
                 _ => None,
             }));
         }
-        let named = marks(&named);
+        let named = server_hashes(&named);
         assert!(
-            avoided.iter().all(|marks| marks.is_empty() || *marks == named || failing.len() == 2)
+            avoided
+                .iter()
+                .all(|hashes| hashes.is_empty() || *hashes == named || failing.len() == 2)
         );
         assert!(named.is_empty() || avoided.contains(&named), "{failing:?}: {avoided:?}");
     }
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -54,8 +54,8 @@
         if let Some(routing) = &view.routing {
             self.shared.caller_bounds.set(routing.bounds);
         }
-        self.shared.gather.tell(gather::Event::View(Arc::clone(&view)));
-        self.shared.leaf.tell(leaf::Event::View(view));
+        self.shared.gather.send(gather::Event::View(Arc::clone(&view)));
+        self.shared.leaf.send(leaf::Event::View(view));
     }
 }
 
@@ -75,7 +75,7 @@
                     warn!(self.shared.log, "published record refused"; "record" => record,
                         "revision" => revision, "detail" => detail);
                 }
-                Action::Log(belief) => log::belief(&self.shared.log, &belief),
+                Action::Log(state_change) => log::state_change(&self.shared.log, &state_change),
                 Action::Count(count) => self.shared.metrics.count(count),
             }
         }
--- a/src/entry/dialect.rs
+++ b/src/entry/dialect.rs
@@ -12,19 +12,19 @@
 use ladder_core::control;
 use ladder_core::control::reader::Read;
 use ladder_core::leaf;
-use ladder_core::leaf::event::{AttemptKey, LaneKey};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey};
 use ladder_core::time::Instant;
 use ladder_schema::target;
 
 use super::Shared;
-use super::door::Door;
+use super::gateway::Gateway;
 use crate::clock::Clock;
 use crate::driver::Handle;
 
 /// The protocols of one deployment. Each part is created on the thread that uses it.
 pub trait Dialect: Send + Sync {
     /// Serves callers and the load balancer's readiness checks until the process ends.
-    fn callers(&self, door: Door, listeners: Listeners) -> LocalBoxFuture<'static, ()>;
+    fn callers(&self, gateway: Gateway, listeners: Listeners) -> LocalBoxFuture<'static, ()>;
     /// Creates the connections to servers.
     fn servers(&self, reports: Reports) -> Box<dyn Servers>;
     /// Creates the client that reads records from the platform.
@@ -42,30 +42,30 @@
     /// Listener for callers.
     pub callers: TcpListener,
     /// Listener for the load balancer's readiness checks, if they have their own address.
-    pub ready: Option<TcpListener>,
+    pub readiness: Option<TcpListener>,
 }
 
 /// Timeouts of a connection to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spans {
+pub struct Timeouts {
     /// Longest time to open a connection.
-    pub opening: Duration,
+    pub connect: Duration,
     /// How long a new connection is observed before it carries a call.
     ///
     /// A server that is over its connection limit accepts one more connection and then resets it. A
     /// call on that connection would be lost without any information on whether it was executed.
-    pub proving: Duration,
+    pub probation: Duration,
     /// An idle connection is closed this long before the server would close it. Otherwise a call
     /// could be sent while the server closes the connection, and would be lost.
-    pub spare: Duration,
+    pub idle_margin: Duration,
 }
 
-impl Default for Spans {
+impl Default for Timeouts {
     fn default() -> Self {
         Self {
-            opening: Duration::from_millis(1000),
-            proving: Duration::from_millis(8),
-            spare: Duration::from_millis(1000),
+            connect: Duration::from_millis(1000),
+            probation: Duration::from_millis(8),
+            idle_margin: Duration::from_millis(1000),
         }
     }
 }
@@ -74,7 +74,7 @@
 #[derive(Clone)]
 pub struct Reports {
     /// Timeouts of the connections.
-    pub spans: Spans,
+    pub timeouts: Timeouts,
     /// Handle of the leaf machine.
     pub leaf: Handle<leaf::Machine>,
     /// Handle of the control machine.
@@ -87,16 +87,22 @@
 /// each one ended, as described at [`leaf::Action`].
 pub trait Servers {
     /// Opens a connection to the server `server` at `address`.
-    fn open(&self, lane: LaneKey, address: &Arc<str>, server: &Arc<str>);
+    fn open(&self, connection: ConnectionKey, address: &Arc<str>, server: &Arc<str>);
     /// Closes a connection; no further event is reported for it.
-    fn close(&self, lane: LaneKey);
+    fn close(&self, connection: ConnectionKey);
     /// Sends a request on a connection. The request counts as lost if no response has arrived by
     /// `until`.
-    fn send(&self, lane: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant);
+    fn send(
+        &self,
+        connection: ConnectionKey,
+        attempt: AttemptKey,
+        request: target::Request,
+        until: Instant,
+    );
     /// Asks the server to cancel the request `id`.
-    fn cancel(&self, lane: LaneKey, id: &str);
+    fn cancel(&self, connection: ConnectionKey, id: &str);
     /// Asks the server for a load report.
-    fn probe(&self, lane: LaneKey, server: Arc<str>);
+    fn probe(&self, connection: ConnectionKey, server: Arc<str>);
 }
 
 /// Reads records from the platform. Each read ends with exactly one event to the control machine: a
--- a/src/entry/door.rs
+++ b/src/entry/gateway.rs
@@ -5,7 +5,7 @@
 
 use ladder_core::collections::Map;
 use ladder_core::gather::Event;
-use ladder_core::gather::event::Caller;
+use ladder_core::gather::event::CallerId;
 use ladder_schema::call;
 use ladder_schema::outcome::{Reason, Verdict};
 use ladder_schema::publication::Bounds;
@@ -18,51 +18,51 @@
 pub struct WaitingCallers {
     /// Invariant: holds each open request once, under the caller number that its [`Event::Call`]
     /// carries.
-    callers: Map<Caller, oneshot::Sender<call::Answer>>,
+    callers: Map<CallerId, oneshot::Sender<call::Answer>>,
     last_number: u64,
 }
 
 impl WaitingCallers {
     /// Sends an answer to its caller; the answer is discarded if the caller has disconnected.
-    pub fn answer(&mut self, caller: Caller, answer: call::Answer) {
+    pub fn answer(&mut self, caller: CallerId, answer: call::Answer) {
         if let Some(sender) = self.callers.remove(&caller) {
             let _ = sender.send(answer);
         }
     }
 
     /// Registers a new caller and returns its number and the receiver of its answer.
-    fn register(&mut self) -> (Caller, oneshot::Receiver<call::Answer>) {
+    fn register(&mut self) -> (CallerId, oneshot::Receiver<call::Answer>) {
         self.last_number += 1;
-        let caller = Caller(self.last_number);
+        let caller = CallerId(self.last_number);
         let (sender, receiver) = oneshot::channel();
         self.callers.insert(caller, sender);
         (caller, receiver)
     }
 }
 
-/// Reports [`Event::Gone`] to the gathering machine if it is dropped before the answer was sent, as
-/// happens when the caller closes its connection.
+/// Reports [`Event::CallerLeft`] to the gathering machine if it is dropped before the answer was
+/// sent, as happens when the caller closes its connection.
 struct CallerGuard {
-    door: Door,
-    caller: Caller,
+    gateway: Gateway,
+    caller: CallerId,
 }
 
 impl Drop for CallerGuard {
     fn drop(&mut self) {
-        if self.door.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
-            self.door.shared.gather.tell(Event::Gone(self.caller));
+        if self.gateway.waiting.borrow_mut().callers.remove(&self.caller).is_some() {
+            self.gateway.shared.gather.send(Event::CallerLeft(self.caller));
         }
     }
 }
 
 /// Accepts callers' requests; all clones pass them to the same gathering machine.
 #[derive(Clone)]
-pub struct Door {
+pub struct Gateway {
     shared: Rc<Shared>,
     waiting: Rc<RefCell<WaitingCallers>>,
 }
 
-impl Door {
+impl Gateway {
     /// Creates a handler of callers' requests that registers the waiting callers in `waiting`.
     pub fn new(shared: Shared, waiting: Rc<RefCell<WaitingCallers>>) -> Self {
         Self { shared: Rc::new(shared), waiting }
@@ -87,15 +87,15 @@
 
     /// Passes a request to the gathering machine and waits for the answer. If the returned future
     /// is dropped before the answer, the machine is informed that the caller has disconnected.
-    pub async fn ask(&self, request: call::Request) -> call::Answer {
+    pub async fn answer(&self, request: call::Request) -> call::Answer {
         let key = request.key.clone();
         let arrived_at = self.shared.clock.now();
         let (caller, receiver) = self.waiting.borrow_mut().register();
-        let guard = CallerGuard { door: self.clone(), caller };
-        self.shared.gather.tell(Event::Call { caller, request });
+        let guard = CallerGuard { gateway: self.clone(), caller };
+        self.shared.gather.send(Event::Call { caller, request });
         let answer = match receiver.await {
             Ok(answer) => answer,
-            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "instance terminated"),
+            Err(_) => refusal(key, Reason::Draining, Verdict::MayHaveRun, "the instance ended"),
         };
         drop(guard);
         self.shared.metrics.answered(&answer, self.shared.clock.now().since(arrived_at));
--- a/src/entry/native.rs
+++ b/src/entry/native.rs
@@ -1,7 +1,7 @@
 //! The built-in dialect: JSON over HTTP with callers, servers and the platform.
 
 mod callers;
-mod lanes;
+mod connections;
 mod records;
 
 use futures_util::FutureExt;
@@ -9,22 +9,22 @@
 
 use super::Shared;
 use super::dialect::{Dialect, Listeners, Publication, Reports, Servers};
-use super::door::Door;
+use super::gateway::Gateway;
 
 pub use callers::decode;
-pub use lanes::{broken, outcome};
+pub use connections::{broken, outcome};
 
 /// The built-in dialect.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Native;
 
 impl Dialect for Native {
-    fn callers(&self, door: Door, listeners: Listeners) -> LocalBoxFuture<'static, ()> {
-        callers::serve(door, listeners).boxed_local()
+    fn callers(&self, gateway: Gateway, listeners: Listeners) -> LocalBoxFuture<'static, ()> {
+        callers::serve(gateway, listeners).boxed_local()
     }
 
     fn servers(&self, reports: Reports) -> Box<dyn Servers> {
-        Box::new(lanes::Connections::new(reports))
+        Box::new(connections::Connections::new(reports))
     }
 
     fn publication(&self, shared: &Shared) -> Box<dyn Publication> {
--- a/src/entry/native/lanes.rs
+++ b/src/entry/native/connections.rs
@@ -12,7 +12,7 @@
 use ladder_core::collections::Map;
 use ladder_core::control;
 use ladder_core::leaf::Event;
-use ladder_core::leaf::event::{AttemptKey, LaneKey, Outcome};
+use ladder_core::leaf::event::{AttemptKey, ConnectionKey, Outcome};
 use ladder_core::time::Instant;
 use ladder_schema::{bounds, target};
 use serde::de::DeserializeOwned;
@@ -39,7 +39,7 @@
 pub(super) struct Connections {
     /// Invariant: holds exactly the connections that the leaf machine considers open or being
     /// opened.
-    connections: Rc<RefCell<Map<LaneKey, Connection>>>,
+    connections: Rc<RefCell<Map<ConnectionKey, Connection>>>,
     reports: Reports,
 }
 
@@ -50,18 +50,18 @@
     }
 
     /// Returns the connection `key`, unless it was closed.
-    fn get(&self, key: LaneKey) -> Option<Connection> {
+    fn get(&self, key: ConnectionKey) -> Option<Connection> {
         self.connections.borrow().get(&key).cloned()
     }
 
     /// Reports the connection as idle if its last exchange was complete; otherwise closes it and
     /// reports it as closed.
-    fn report_end(&self, key: LaneKey, complete: bool) {
+    fn report_end(&self, key: ConnectionKey, complete: bool) {
         if complete {
-            self.reports.leaf.tell(Event::Opened(key));
+            self.reports.leaf.send(Event::Opened(key));
         } else {
             self.close(key);
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
         }
     }
 }
@@ -69,7 +69,7 @@
 impl Servers for Connections {
     /// Opens a connection by requesting a load report, so that the first query needs no connection
     /// setup.
-    fn open(&self, key: LaneKey, address: &Arc<str>, _server: &Arc<str>) {
+    fn open(&self, key: ConnectionKey, address: &Arc<str>, _server: &Arc<str>) {
         let connection = Connection { client: client(), address: Arc::clone(address) };
         self.connections.borrow_mut().insert(key, connection.clone());
         let connections = self.clone();
@@ -78,7 +78,7 @@
                 Ok(report) => connections.report_end(key, report.is_some()),
                 Err(error) if is_refused(&error) => {
                     connections.close(key);
-                    connections.reports.leaf.tell(Event::Refused(key));
+                    connections.reports.leaf.send(Event::Refused(key));
                 }
                 Err(_) => connections.report_end(key, false),
             }
@@ -86,15 +86,21 @@
     }
 
     /// Closes a connection.
-    fn close(&self, key: LaneKey) {
+    fn close(&self, key: ConnectionKey) {
         self.connections.borrow_mut().remove(&key);
     }
 
     /// Sends a request and reports how it ended. The request counts as lost if no response has
     /// arrived by `until`.
-    fn send(&self, key: LaneKey, attempt: AttemptKey, request: target::Request, until: Instant) {
+    fn send(
+        &self,
+        key: ConnectionKey,
+        attempt: AttemptKey,
+        request: target::Request,
+        until: Instant,
+    ) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Ended { attempt, outcome: Outcome::Unsent });
+            self.reports.leaf.send(Event::Ended { attempt, outcome: Outcome::Unsent });
             return;
         };
         let connections = self.clone();
@@ -106,14 +112,14 @@
             if !matches!(outcome, Outcome::Answer(_) | Outcome::Refusal(_)) {
                 connections.close(key);
             }
-            connections.reports.leaf.tell(Event::Ended { attempt, outcome });
+            connections.reports.leaf.send(Event::Ended { attempt, outcome });
         });
     }
 
     /// Asks the server to cancel the request `id`.
-    fn cancel(&self, key: LaneKey, id: &str) {
+    fn cancel(&self, key: ConnectionKey, id: &str) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
             return;
         };
         let connections = self.clone();
@@ -128,22 +134,22 @@
     }
 
     /// Asks the server for a load report.
-    fn probe(&self, key: LaneKey, server: Arc<str>) {
+    fn probe(&self, key: ConnectionKey, server: Arc<str>) {
         let Some(connection) = self.get(key) else {
-            self.reports.leaf.tell(Event::Closed(key));
+            self.reports.leaf.send(Event::Closed(key));
             return;
         };
         let connections = self.clone();
         actix_rt::spawn(async move {
             let load = load(&connection).await;
             if let Some(report) = load.as_ref().filter(|report| report.leaving) {
-                connections.reports.control.tell(control::Event::ServerLeaving {
+                connections.reports.control.send(control::Event::ServerLeaving {
                     server: Arc::clone(&server),
                     incarnation: report.incarnation,
                 });
             }
             connections.report_end(key, load.is_some());
-            connections.reports.leaf.tell(Event::Load { server, load });
+            connections.reports.leaf.send(Event::Load { server, load });
         });
     }
 }
--- a/src/log/lines.rs
+++ b/src/log/request_log.rs
@@ -5,7 +5,7 @@
 
 use ladder_core::fingerprint::Fingerprint;
 use ladder_core::gather::{Explanation, Step};
-use ladder_core::leaf::{Trace, Trial};
+use ladder_core::leaf::{CallTrace, Trace};
 use ladder_core::time::Instant;
 use slog::{Logger, info, warn};
 
@@ -52,9 +52,9 @@
         if !self.take(account.steps.len() as u32) {
             return;
         }
-        let arrived = account.steps.first().map(|stamp| stamp.at).unwrap_or_default();
-        for stamp in &account.steps {
-            self.step(&account.key, stamp.at.since(arrived), &stamp.step);
+        let arrived = account.steps.first().map(|timed_step| timed_step.at).unwrap_or_default();
+        for timed_step in &account.steps {
+            self.step(&account.key, timed_step.at.since(arrived), &timed_step.step);
         }
     }
 
@@ -83,7 +83,7 @@
                     "service" => &**service, "verdict" => verdict.as_str_name(),
                     "reason" => reason.as_str_name());
             }
-            Step::Lost { owner, portions } => {
+            Step::OwnerLost { owner, portions } => {
                 info!(self.log, "portions lost"; "id" => id, "at_us" => at, "owner" => &**owner,
                     "portions" => portions);
             }
@@ -94,7 +94,7 @@
                 info!(self.log, "portions withdrawn"; "id" => id, "at_us" => at,
                     "portions" => portions);
             }
-            Step::Gone => info!(self.log, "caller disconnected"; "id" => id, "at_us" => at),
+            Step::CallerLeft => info!(self.log, "caller disconnected"; "id" => id, "at_us" => at),
             Step::Answered { verdict, reason, covered, missing } => {
                 info!(self.log, "answered"; "id" => id, "at_us" => at,
                     "verdict" => verdict.as_str_name(), "reason" => reason.as_str_name(),
@@ -105,16 +105,16 @@
 
     /// Logs the handling of a portion: one line for each call and one for the end of the portion.
     pub fn trace(&self, trace: &Trace) {
-        if !self.take(trace.trials.len() as u32 + 1) {
+        if !self.take(trace.calls.len() as u32 + 1) {
             return;
         }
-        for trial in &trace.trials {
-            self.trial(trace, trial);
+        for call in &trace.calls {
+            self.call(trace, call);
         }
         info!(self.log, "portion finished"; "id" => &*trace.id, "service" => &*trace.service,
             "version" => trace.version, "took_us" => micros(trace.took),
             "verdict" => trace.verdict.as_str_name(), "reason" => trace.reason.as_str_name(),
-            "retry_after_us" => micros(trace.retry_after), "calls" => trace.trials.len());
+            "retry_after_us" => micros(trace.retry_after), "calls" => trace.calls.len());
     }
 
     /// Logs that a server process crashed while requests were in progress there.
@@ -126,15 +126,15 @@
         }
     }
 
-    fn trial(&self, trace: &Trace, trial: &Trial) {
-        let end = trial.end;
+    fn call(&self, trace: &Trace, call: &CallTrace) {
+        let end = call.end;
         info!(self.log, "call"; "id" => &*trace.id, "service" => &*trace.service,
-            "server" => &*trial.server, "cause" => ?trial.cause,
-            "after_us" => micros(trial.after), "in_flight" => trial.in_flight,
-            "failure_rate" => format!("{:.2}", trial.failure_rate),
-            "shed_rate" => format!("{:.2}", trial.shed_rate),
-            "seen_us_ago" => micros(trial.age), "budget" => trial.budget,
-            "left_us" => micros(trial.left),
+            "server" => &*call.server, "cause" => ?call.cause,
+            "after_us" => micros(call.after), "in_flight" => call.in_flight,
+            "failure_rate" => format!("{:.2}", call.failure_rate),
+            "shed_rate" => format!("{:.2}", call.shed_rate),
+            "seen_us_ago" => micros(call.age), "budget" => call.budget,
+            "left_us" => micros(call.left),
             "took_us" => end.map(|end| micros(end.took)),
             "verdict" => end.map(|end| end.verdict.as_str_name()),
             "reason" => end.map(|end| end.reason.as_str_name()));
