--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -163,7 +163,7 @@
             Step::Sweep => self.sweep(),
             Step::Tick => self.handle(Event::Tick),
             Step::Ready(connection) if self.connections.contains_key(&connection) => {
-                self.handle(Event::Opened(connection))
+                self.handle(Event::Opened(connection));
             }
             Step::Ready(_) => {}
             Step::Reach(call) => self.reach(call),
@@ -262,7 +262,7 @@
                 self.connections.remove(&connection);
             }
             Action::Send { connection, attempt, request, .. } => {
-                self.send(connection, attempt, request)
+                self.send(connection, attempt, request);
             }
             Action::Cancel { connection, id } => {
                 self.at(2 * HOP_US, Step::Ready(connection));
--- a/crates/core/src/leaf/intake.rs
+++ b/crates/core/src/leaf/intake.rs
@@ -35,7 +35,7 @@
 
 impl Machine {
     /// Handles a message of work from an entry instance: queues or refuses each of its portions.
-    pub(super) fn handle_work(
+    pub(super) fn recv_work(
         &mut self,
         from: Peer,
         incarnation: u64,
--- a/crates/core/src/leaf/machine.rs
+++ b/crates/core/src/leaf/machine.rs
@@ -167,9 +167,7 @@
 
     fn dispatch_event(&mut self, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Work { from, incarnation, work } => {
-                self.handle_work(from, incarnation, work, out)
-            }
+            Event::Work { from, incarnation, work } => self.recv_work(from, incarnation, work, out),
             Event::Cancel { from, cancel } => self.handle_cancel(from, &cancel, out),
             Event::Opened(connection) => self.connection_opened(connection, out),
             Event::Closed(connection) => self.closed(connection, out),
--- a/crates/core/tests/gather/partial_aggregation.rs
+++ b/crates/core/tests/gather/partial_aggregation.rs
@@ -626,12 +626,8 @@
             let (before, now) = (servers(before.expect("the same part")), servers(portion));
             let all = (1..=3)
                 .map(|number| ServerHash::of(&format!("{}-{}", portion.service, number - 1)).0);
-            let left_out = all.into_iter().find(|server_hash| !before.contains(server_hash));
-            assert_eq!(
-                left_out.is_some_and(|server_hash| now.contains(&server_hash)),
-                expects_third,
-                "{name}"
-            );
+            let left_out = all.into_iter().find(|hash| !before.contains(hash));
+            assert_eq!(left_out.is_some_and(|hash| now.contains(&hash)), expects_third, "{name}");
             assert!(expects_third || now == before, "{name}");
             assert_eq!(now.len(), 2, "{name}");
         }
--- a/crates/core/tests/leaf/simulation.rs
+++ b/crates/core/tests/leaf/simulation.rs
@@ -86,7 +86,7 @@
         let call = self.calls.remove(&attempt).expect("an open call ends");
         match outcome {
             Outcome::Answer(_) | Outcome::Refusal(_) => {
-                self.set_state(call.connection, ConnectionState::Idle)
+                self.set_state(call.connection, ConnectionState::Idle);
             }
             _ => {
                 self.connections.remove(&call.connection);
@@ -115,7 +115,7 @@
                     self.check_send(*connection, *attempt, request);
                 }
                 Action::Cancel { connection, .. } | Action::Probe { connection, .. } => {
-                    self.occupy(*connection)
+                    self.occupy(*connection);
                 }
                 Action::Reply { reply, .. } => self.check_reply(reply),
                 Action::Log(_)
