--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -164,7 +164,7 @@
             Step::StartQuery => self.start_query(),
             Step::Tick => self.handle(Event::Tick),
             Step::Ready(connection) if self.connections.contains_key(&connection) => {
-                self.handle(Event::Opened(connection))
+                self.handle(Event::Opened(connection));
             }
             Step::Ready(_) => {}
             Step::Arrive(call) => self.arrive(call),
@@ -264,7 +264,7 @@
                 self.connections.remove(&connection);
             }
             Action::Send { connection, attempt, request, .. } => {
-                self.send(connection, attempt, request)
+                self.send(connection, attempt, request);
             }
             Action::Cancel { connection, id } => {
                 self.schedule(2 * NETWORK_DELAY_US, Step::Ready(connection));
