--- a/crates/core/examples/sweep_trial/run.rs
+++ b/crates/core/examples/sweep_trial/run.rs
@@ -273,7 +273,7 @@
                 }
             }
             Action::Probe { connection, .. } => {
-                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(connection))
+                self.schedule(2 * NETWORK_DELAY_US, Step::Ready(connection));
             }
             Action::Reply { reply, .. } => self.reply(&reply),
             Action::Log(_)
