--- a/crates/core/src/gather/aggregator_selection.rs
+++ b/crates/core/src/gather/aggregator_selection.rs
@@ -131,7 +131,8 @@
     }
 }
 
-/// The groups of the parts of one index.
+/// The services of one index by the zones of their servers, divided into groups: one instance can
+/// call the servers of a group for all instances and aggregate their responses.
 #[derive(Debug)]
 struct IndexGroups {
     /// Keeps the index alive, since its address is the key in `by_index`.
--- a/crates/core/src/gather/history.rs
+++ b/crates/core/src/gather/history.rs
@@ -111,7 +111,8 @@
 pub struct Explanation {
     /// Request key of the query.
     pub key: String,
-    /// Query number, as sent to owners, that the query had before any restart.
+    /// First number of the query in messages to owners; a restart of the query on another index
+    /// version assigns a new number, which is not recorded here.
     pub query: u64,
     /// Steps of the query, oldest first.
     pub steps: Vec<TimedStep>,
--- a/crates/core/tests/leaf/siblings.rs
+++ b/crates/core/tests/leaf/siblings.rs
@@ -106,7 +106,8 @@
     takes_ms: u64,
     /// Number of parts whose server stalls.
     stalled: usize,
-    /// Number of hedges long after the other parts are answered.
+    /// Expected number of hedged calls `takes_ms` milliseconds after the answers to all parts
+    /// whose server does not stall.
     hedges: usize,
 }
 
